--- a/guavastream/kernel/records.py
+++ b/guavastream/kernel/records.py
@@ -1,5 +1,7 @@
 """Frozen data classes that are made, copied and encoded all the time."""
 
+import functools
+
 import msgspec
 
 __all__ = ["record", "replace"]
@@ -10,7 +12,7 @@
 replace = msgspec.structs.replace
 
 
-def record(cls):
+def record(cls=None, *, encoded_names=None):
     """Make a class a frozen data class with keyword-only fields.
 
     It does what ``dataclasses.dataclass(frozen=True, kw_only=True, slots=True)``
@@ -19,6 +21,15 @@
     `replace` 0.4 us in place of 3. Use it for what is sent, stored or copied often;
     elsewhere a plain data class reads as well.
 
+    Parameters
+    ----------
+    cls : type, optional
+        The class; without it a decorator is returned.
+    encoded_names : dict, optional
+        Names that fields have when they are encoded, by attribute, where the two
+        differ. An encoded name must stay as it is: stored files and processes of
+        other versions use it.
+
     Examples
     --------
     >>> @record
@@ -31,7 +42,15 @@
     >>> point.x = 3
     Traceback (most recent call last):
     AttributeError: immutable type: 'Point'
+
+    >>> @record(encoded_names={"latitude": "y"})
+    ... class Place:
+    ...     latitude: int
+    >>> msgspec.json.encode(Place(latitude=3))
+    b'{"y":3}'
     """
+    if cls is None:
+        return functools.partial(record, encoded_names=encoded_names)
     names = cls.__dict__.get("__annotations__", {})
     fields = [
         (name, kind, cls.__dict__[name]) if name in cls.__dict__ else (name, kind)
@@ -49,4 +68,5 @@
         module=cls.__module__,
         frozen=True,
         kw_only=True,
+        rename=encoded_names,
     )
--- a/guavastream/messages/codec.py
+++ b/guavastream/messages/codec.py
@@ -1,5 +1,7 @@
 """Typed messages between processes and their encoding."""
 
+import functools
+
 import msgspec
 
 from guavastream.exception import BadMessage
@@ -10,12 +12,22 @@
 MAX_MESSAGE_BYTES = 64 << 20
 
 _types = {}
+_tags = {}
 _decoders = {}
 _encoder = msgspec.msgpack.Encoder()
 
 
-def message(cls):
-    """Register a class as a message; it becomes a frozen record.
+def message(cls=None, *, tag=None, encoded_names=None):
+    r"""Register a class as a message; it becomes a frozen record.
+
+    Parameters
+    ----------
+    cls : type, optional
+        The class; without it a decorator is returned.
+    tag : str, optional
+        Name of the message in its encoding; the class's name by default.
+    encoded_names : dict, optional
+        Encoded names of fields, by attribute, where the two differ.
 
     Examples
     --------
@@ -24,15 +36,27 @@
     ...     count: int
     >>> decode_message(*encode_message(Ping(count=2)))
     Ping(count=2)
+
+    >>> @message(tag="Pong", encoded_names={"received": "count"})
+    ... class PingAnswer:
+    ...     received: int
+    >>> encode_message(PingAnswer(received=2))
+    (b'Pong', b'\x81\xa5count\x02')
+    >>> decode_message(b"Pong", b"\x81\xa5count\x02")
+    PingAnswer(received=2)
     """
-    cls = record(cls)
-    _types[cls.__name__.encode()] = cls
+    if cls is None:
+        return functools.partial(message, tag=tag, encoded_names=encoded_names)
+    tag = (tag or cls.__name__).encode()
+    cls = record(cls, encoded_names=encoded_names)
+    _types[tag] = cls
+    _tags[cls] = tag
     return cls
 
 
 def encode_message(item):
     """Return the tag and the body of a message, both bytes."""
-    return type(item).__name__.encode(), _encoder.encode(item)
+    return _tags[type(item)], _encoder.encode(item)
 
 
 def decode_message(tag, body):
