--- a/guavastream/control/__init__.py
+++ b/guavastream/control/__init__.py
@@ -1,4 +1,4 @@
-"""Control hosts: replicated log, leases, planning of owners."""
+"""Control hosts: the replicated log, host leases and the assignment of owners."""
 
 from guavastream.control.machine import *
 from guavastream.control.planner import *
--- a/guavastream/control/fleet.py
+++ b/guavastream/control/fleet.py
@@ -1,11 +1,11 @@
-"""What a control host of a fleet answers, and how its voters are replaced."""
+"""Requests to the control hosts of a fleet, and replacement of lost voters."""
 
 import asyncio
 
 import msgspec
 
 from guavastream.control.messages import VOTER_MESSAGES
-from guavastream.control.watching import WATCH_MESSAGES, WatchDesk
+from guavastream.control.watching import WATCH_MESSAGES, WatchService
 from guavastream.exception import GuavastreamError, NotLeader, NotReady, PeerFailure
 from guavastream.fleet import (
     Beat,
@@ -29,16 +29,17 @@
 
 __all__ = ["FleetService", "VoterKeeper"]
 
-# A control host that has not known all that its leader has committed for this
-# long does not pass on what it knows as new: whoever watches it asks another one.
-FRESH_SECONDS = 0.5
-# A watch looks this much later, so that the time is surely over then.
-GRAIN_SECONDS = 0.002
-# Time after which a silent voter makes room, if one more than wanted votes.
-# A restart or a short cut must not cost a vote.
-UNHEARD_SECONDS = 3.0
-TEND_SECONDS = 0.4
-CATCH_UP_SECONDS = 5.0
+# A control host whose state is older than this refuses watches, so that the watchers
+# turn to another one.
+MAX_STATE_AGE_SECONDS = 0.5
+# Added to the delay before a watch checks the age of the state again, so that the
+# limit has certainly passed by then.
+TIMER_MARGIN_SECONDS = 0.002
+# A voter that has been silent for this long is removed if there are more voters than
+# wanted. Longer than a restart or a short network interruption.
+LOST_VOTER_SECONDS = 3.0
+CHECK_INTERVAL_SECONDS = 0.4
+CATCH_UP_TIMEOUT_SECONDS = 5.0
 
 log = part_logger("control")
 
@@ -51,16 +52,16 @@
     raft : Raft
         This voter.
     machine : TableMachine
-        Its book.
+        The replicated state.
     granter : Granter
         Answers heartbeats while this voter leads.
     voters : VoterKeeper
-        Takes in new voters while this voter leads.
+        Adds new voters while this voter leads.
     suspects : SuspectKeeper
-        Tends the suspect requests while this voter leads.
+        Maintains the suspect requests while this voter leads.
     losses : int
-        Disks that may be lost at once; no change is acknowledged on fewer
-        synced disks than one more.
+        Number of disks that may be lost at once. A change is accepted only if it is
+        synced on at least one disk more.
     """
 
     def __init__(self, *, raft, machine, granter, voters, suspects, losses):
@@ -70,25 +71,27 @@
         self._voters = voters
         self._suspects = suspects
         self._losses = losses
-        self._watches = WatchDesk(
+        self._watches = WatchService(
             raft=raft, machine=machine, clock=asyncio.get_running_loop().time
         )
 
     async def handle(self, request):
-        """Answer one message.
+        """Answer one request.
 
         Raises
         ------
         NotLeader, NotReady, PeerFailure
-            Carried to the caller by the transport.
+            Returned to the caller by the transport.
         """
         if isinstance(request, VOTER_MESSAGES):
             return await self._raft.handle(request)
         if isinstance(request, WATCH_MESSAGES):
             return await self._watches.answer(
-                request, hosts=self._fresh_hosts, fresh_for=self._fresh_for
+                request,
+                hosts=self._hosts_if_fresh,
+                staleness_delay=self._staleness_delay,
             )
-        self._require_lead()
+        self._require_leadership()
         self._granter.ensure_term()
         if isinstance(request, Beat):
             return await self._granter.beat(request)
@@ -113,34 +116,43 @@
             self._granter.note_load(request)
             return request
         if isinstance(request, ReadRoutes):
-            return self._watches.cut(RoutesRead(config=self._machine.table.config))
+            return self._watches.split_answer(
+                RoutesRead(config=self._machine.table.config)
+            )
         if isinstance(request, Submit):
             return await self._submit(request)
         if isinstance(request, JoinVoters):
             await self._voters.join(request)
             return request
-        raise PeerFailure(f"{type(request).__name__} is not for control hosts.")
+        raise PeerFailure(
+            f"{type(request).__name__} is not a request to a control host."
+        )
 
-    def _require_lead(self):
+    def _require_leadership(self):
         if not self._raft.is_leader:
             raise NotLeader(leader=self._raft.leader_address)
 
-    def _fresh_hosts(self):
-        """Return the control hosts, if what is known here is new enough."""
-        if self._raft.knowledge_age > FRESH_SECONDS:
-            raise NotReady("No leader is heard here, or not all it has committed.")
+    def _hosts_if_fresh(self):
+        """Return the addresses of the voters; raise `NotReady` if the state is old."""
+        if self._raft.state_age > MAX_STATE_AGE_SECONDS:
+            raise NotReady(
+                "No contact with a leader, or its commits are not applied yet."
+            )
         return tuple(self._raft.voters.values())
 
-    def _fresh_for(self):
-        """Return when to look again, seconds, if no leader is heard by then."""
-        return max(0.0, FRESH_SECONDS - self._raft.knowledge_age) + GRAIN_SECONDS
+    def _staleness_delay(self):
+        """Return the seconds until the state is too old, unless it is refreshed."""
+        return (
+            max(0.0, MAX_STATE_AGE_SECONDS - self._raft.state_age)
+            + TIMER_MARGIN_SECONDS
+        )
 
     async def _submit(self, request):
         command = decode_message(request.tag, request.body)
         if not isinstance(command, ChangeRoutes):
-            raise PeerFailure(f"{type(command).__name__} is not for submission.")
+            raise PeerFailure(f"{type(command).__name__} cannot be submitted.")
         if len(self._raft.voters) // 2 < self._losses:
-            raise NotReady("Too few voters to bear the losses that are allowed.")
+            raise NotReady("Too few voters to survive the allowed disk losses.")
         command = shorten_change(command, self._machine.table.config)
         result = await self._raft.propose(encode_command(command))
         encoded = msgspec.msgpack.encode(result)
@@ -148,19 +160,19 @@
 
 
 class VoterKeeper:
-    """Takes control hosts in and lets lost ones go, without an operator.
+    """Adds control hosts as voters and removes lost ones, without an operator.
 
     Parameters
     ----------
     raft : Raft
         This voter.
     control : ControlClient
-        Reaches the leader.
+        Sends requests to the leader.
     address : str
-        Own peer address.
+        Peer address of this host.
     wanted : int
-        Voters that are kept at least; one more than that only while one is
-        replaced.
+        Minimum number of voters to keep; there is one more only while a lost one
+        is being replaced.
     """
 
     def __init__(self, *, raft, control, address, wanted):
@@ -171,46 +183,50 @@
         self._busy = asyncio.Lock()
 
     async def join(self, request):
-        """Let a control host vote, as the leader.
+        """Make a control host a voter; called on the leader.
 
-        The newcomer is added before an old voter goes: at no time does a
-        commit need fewer disks than before.
+        The new voter is added before a lost one is removed, so that a commit never
+        needs fewer disks than before.
         """
         async with self._busy:
             if self._raft.voters.get(request.voter) == request.address:
                 return
             await self._raft.add_voter(
-                request.voter, request.address, timeout=CATCH_UP_SECONDS
+                request.voter, request.address, timeout=CATCH_UP_TIMEOUT_SECONDS
             )
             log.info("Control host %s votes now.", request.address)
 
     async def run(self):
-        """Ask to vote while not voting; as the leader remove the lost."""
+        """Ask to become a voter; on the leader, remove lost voters."""
         while True:
-            await asyncio.sleep(TEND_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
             try:
                 if self._raft.is_leader:
                     await self._remove_lost()
-                elif not self._raft.votes:
-                    await self._ask()
+                elif not self._raft.is_voter:
+                    await self._ask_to_join()
             except GuavastreamError as error:
-                log.debug("Voters stay as they are: %s.", error)
+                log.debug("Changing the voters failed: %s.", error)
 
-    async def _ask(self):
+    async def _ask_to_join(self):
         request = JoinVoters(voter=self._raft.voter, address=self._address)
         await self._control.call(
-            request, timeout=2 * CATCH_UP_SECONDS, attempt=CATCH_UP_SECONDS
+            request,
+            timeout=2 * CATCH_UP_TIMEOUT_SECONDS,
+            attempt=CATCH_UP_TIMEOUT_SECONDS,
         )
 
     async def _remove_lost(self):
         async with self._busy:
             voters = self._raft.voters
-            newest = {address: voter for voter, address in voters.items()}
-            unheard = self._raft.unheard
-            for voter, silence in sorted(unheard.items(), key=lambda item: -item[1]):
-                replaced = newest[voters[voter]] != voter
-                lost = len(voters) > self._wanted and silence > UNHEARD_SECONDS
-                if silence > TEND_SECONDS and (replaced or lost):
+            newest_voter = {address: voter for voter, address in voters.items()}
+            silence_by_voter = self._raft.silence_by_voter
+            for voter, silence in sorted(
+                silence_by_voter.items(), key=lambda item: -item[1]
+            ):
+                replaced = newest_voter[voters[voter]] != voter
+                lost = len(voters) > self._wanted and silence > LOST_VOTER_SECONDS
+                if silence > CHECK_INTERVAL_SECONDS and (replaced or lost):
                     await self._raft.remove_voter(voter)
-                    log.info("Control host %s votes no more.", voters[voter])
+                    log.info("Control host %s is no longer a voter.", voters[voter])
                     return
--- a/guavastream/control/follower.py
+++ b/guavastream/control/follower.py
@@ -1,4 +1,4 @@
-"""How a voter joins its group and answers the others: its promises."""
+"""Raft followers: forming a group and answering candidates and leaders."""
 
 import asyncio
 
@@ -9,8 +9,8 @@
     HelloAnswer,
     InstallSnapshot,
     RequestVote,
-    TakenOver,
     TakeOver,
+    TakeOverAnswer,
     Vote,
 )
 from guavastream.control.storage import Snapshot
@@ -24,15 +24,16 @@
 
 
 class Follower(Voter):
-    """A voter that answers candidates and leaders."""
+    """A voter that forms a group and answers the requests of other voters."""
 
     # Forming a group
 
-    async def _form(self):
-        """Wait until every peer is known, then take the common voters.
+    async def _form_group(self):
+        """Ask the peers for their identities until this voter is in a group.
 
-        A host whose disk was lost finds the others in a group that does not
-        list its new disk; it then stays outside until it is added.
+        If it may, it forms a new group once all peers have answered and none is in
+        a group. A host that lost its disk finds the others in a group without its
+        new identity; it then waits until the leader adds it.
         """
         while not self._voters:
             found = {self.voter: self._address}
@@ -45,29 +46,35 @@
                 except GuavastreamError:
                     continue
                 if self.voter in answer.voters:
-                    self._adopt(answer.voters)
+                    self._set_initial_voters(answer.voters)
                     return
                 if not answer.voters:
                     found[answer.voter] = address
             if self._may_form and len(found) == len(self._peers):
-                self._adopt(dict(sorted(found.items())))
+                self._set_initial_voters(dict(sorted(found.items())))
                 return
             await asyncio.sleep(self._timing.heartbeat * 4)
 
-    def _adopt(self, voters):
+    def _set_initial_voters(self, voters):
         if not self._storage.meta.voters:
             self._storage.save_meta(voters=voters)
-            self._voters = self._voters_in_log()
-            log.info("Group of %d voters formed.", len(voters))
+            self._voters = self._latest_voters()
+            log.info("Formed a group of %d voters.", len(voters))
 
-    # Answers to other voters
+    # Answering other voters
 
     async def handle(self, request):
-        """Answer a message of another voter."""
+        """Answer a request of another voter.
+
+        Raises
+        ------
+        PeerFailure
+            If the request is for another voter or of an unknown type.
+        """
         if isinstance(request, Hello):
             return HelloAnswer(voter=self.voter, voters=self._voters)
         if request.to != self.voter:
-            raise PeerFailure("Another disk was meant.", code="wrong_voter")
+            raise PeerFailure("The request is for another voter.", code="wrong_voter")
         if isinstance(request, RequestVote):
             return await self._handle_vote(request)
         if isinstance(request, TakeOver):
@@ -76,23 +83,23 @@
             return await self._handle_append(request)
         if isinstance(request, InstallSnapshot):
             return await self._handle_install(request)
-        raise PeerFailure(f"{type(request).__name__} is not for voters.")
+        raise PeerFailure(f"{type(request).__name__} is not a request to a voter.")
 
     async def _handle_vote(self, request):
-        # Whoever hears a leader ignores candidates, whatever their term: a
-        # voter that comes back from a partition then disturbs nobody, and a
-        # leader can rely on its lease.
-        if self._ignores(request):
+        # A voter that has recently heard a leader ignores candidates of any term.
+        # Otherwise a voter that returns from a partition could depose the leader,
+        # and a leader could not rely on its lease.
+        if self._must_ignore(request):
             return Vote(term=self.term, granted=False)
-        if request.pre:
+        if request.pre_vote:
             granted = request.term > self.term and self._is_up_to_date(request)
             return Vote(term=self.term, granted=granted)
         async with self._write_lock:
-            if self._ignores(request):
+            if self._must_ignore(request):
                 return Vote(term=self.term, granted=False)
-            age = self._now() - self._heard
+            leader_silence = self._now() - self._leader_heard_at
             if request.term > self.term:
-                await self._new_term(request.term)
+                await self._enter_term(request.term)
             meta = self._storage.meta
             free = meta.voted_for in ("", request.candidate)
             granted = (
@@ -101,22 +108,22 @@
             if granted and not meta.voted_for:
                 await self._save_meta(voted_for=request.candidate)
             if granted:
-                self._heard = self._now()
-        return Vote(term=self.term, granted=granted, age=age)
+                self._leader_heard_at = self._now()
+        return Vote(term=self.term, granted=granted, leader_silence=leader_silence)
 
-    def _ignores(self, request):
+    def _must_ignore(self, request):
         if self.has_lease():
             return True
-        if request.handed and request.term == self.term + 1:
-            # The leader whose silence is awaited says itself that it is over.
+        if request.leadership_transfer and request.term == self.term + 1:
+            # The current leader has stopped acting, so its lease need not expire.
             return False
-        return self._now() - self._heard < self._timing.election_min
+        return self._now() - self._leader_heard_at < self._timing.election_min
 
     def _handle_take_over(self, request):
         accepted = request.term == self.term and not self._leading
         if accepted:
-            self._asked_to_lead.set()
-        return TakenOver(accepted=accepted)
+            self._takeover_requested.set()
+        return TakeOverAnswer(accepted=accepted)
 
     def _is_up_to_date(self, request):
         last = (self._storage.last_term, self._storage.last_index)
@@ -124,38 +131,46 @@
 
     async def _handle_append(self, request):
         if request.term < self.term:
-            return Appended(term=self.term, success=False, match=0)
-        self._hear(request)
-        came_at = self._heard
+            return Appended(term=self.term, success=False, match_index=0)
+        self._note_leader(request)
+        received_at = self._leader_heard_at
         async with self._write_lock:
             if request.term < self.term:
-                return Appended(term=self.term, success=False, match=0)
+                return Appended(term=self.term, success=False, match_index=0)
             if request.term > self.term:
-                await self._new_term(request.term)
-            # A write that took long must not count as silence of the leader.
-            self._hear(request)
-            match = await self._store(request)
-        if match is None:
-            hint = min(self._storage.last_index, request.previous - 1)
-            return Appended(term=self.term, success=False, match=max(0, hint))
-        self._set_commit(min(request.commit, match))
+                await self._enter_term(request.term)
+            # Waiting for an earlier slow write must not count as leader silence.
+            self._note_leader(request)
+            match_index = await self._store_entries(request)
+        if match_index is None:
+            hint = min(self._storage.last_index, request.previous_index - 1)
+            return Appended(term=self.term, success=False, match_index=max(0, hint))
+        self._set_commit(min(request.commit, match_index))
         if self._applied >= request.commit:
-            self._current_at = max(self._current_at, came_at)
-        return Appended(term=self.term, success=True, match=match)
+            self._caught_up_at = max(self._caught_up_at, received_at)
+        return Appended(term=self.term, success=True, match_index=match_index)
 
-    def _hear(self, request):
-        self._heard = self._now()
+    def _note_leader(self, request):
+        """Record contact with the leader that sent the request."""
+        self._leader_heard_at = self._now()
         self._leader = request.leader
         self._leader_address = request.leader_address
         if self._leading:
             self._step_down.set()
 
-    async def _store(self, request):
-        """Store new entries; return the last index that agrees, or None."""
-        previous = request.previous
-        # What the snapshot holds is committed and always agrees.
-        if previous > self._storage.snapshot.index:
-            if self._storage.term_at(previous) != request.previous_term:
+    async def _store_entries(self, request):
+        """Store the new entries of a request.
+
+        Returns
+        -------
+        int or None
+            Last index at which the log agrees with the leader's; None if this
+            voter does not have the entry at the request's `previous_index`.
+        """
+        previous_index = request.previous_index
+        # Entries up to the snapshot are committed and always agree.
+        if previous_index > self._storage.snapshot.index:
+            if self._storage.term_at(previous_index) != request.previous_term:
                 return None
         new = [
             e
@@ -164,22 +179,22 @@
             and self._storage.term_at(e.index) != e.term
         ]
         if new:
-            # From the first entry that differs on, all are taken anew.
+            # Replace everything from the first differing entry on.
             first = new[0].index
             new = [e for e in request.entries if e.index >= first]
             await self._append_to_log(new)
-            self._voters = self._voters_in_log()
+            self._voters = self._latest_voters()
         if request.entries:
             return request.entries[-1].index
-        return previous
+        return previous_index
 
     async def _handle_install(self, request):
         if request.term < self.term:
-            return Appended(term=self.term, success=False, match=0)
-        self._hear(request)
+            return Appended(term=self.term, success=False, match_index=0)
+        self._note_leader(request)
         async with self._write_lock:
             if request.term > self.term:
-                await self._new_term(request.term)
+                await self._enter_term(request.term)
             if request.index > self._commit:
                 snapshot = Snapshot(
                     index=request.index,
@@ -190,7 +205,7 @@
                 self._storage.save_snapshot(snapshot)
                 self._machine.load(request.index, request.data)
                 self._commit = self._applied = request.index
-                self._voters = self._voters_in_log()
-                self._notify()
-            self._hear(request)
-        return Appended(term=self.term, success=True, match=request.index)
+                self._voters = self._latest_voters()
+                self._notify_applied()
+            self._note_leader(request)
+        return Appended(term=self.term, success=True, match_index=request.index)
--- a/guavastream/control/messages.py
+++ b/guavastream/control/messages.py
@@ -1,4 +1,4 @@
-"""Messages between voters, after Raft."""
+"""Raft messages between control hosts."""
 
 from guavastream.control.storage import Entry
 from guavastream.messages import message
@@ -11,7 +11,7 @@
     "InstallSnapshot",
     "RequestVote",
     "TakeOver",
-    "TakenOver",
+    "TakeOverAnswer",
     "VOTER_MESSAGES",
     "Vote",
 ]
@@ -19,7 +19,7 @@
 
 @message
 class Hello:
-    """A voter asks another who it is; `blank` if it belongs to no group yet."""
+    """Asks a control host for its identity and its group; tells the sender's own."""
 
     voter: str
     address: str
@@ -27,18 +27,22 @@
 
 @message
 class HelloAnswer:
-    """Identity of a voter; `voters` are those its group was formed with."""
+    """Identity of a voter and the voters of its group.
+
+    `voters` maps voters to peer addresses; empty if it belongs to no group.
+    """
 
     voter: str
     voters: dict[str, str]
 
 
-@message
+@message(encoded_names={"pre_vote": "pre", "leadership_transfer": "handed"})
 class RequestVote:
-    """A candidate asks for a vote; with `pre` nothing is promised.
+    """Asks for a vote.
 
-    `handed` tells that the leader of the term before has stopped acting and
-    asked the candidate to succeed it.
+    Answering a request with `pre_vote` set commits the voter to nothing.
+    `leadership_transfer` is set if the leader of the previous term has stopped
+    acting and asked the candidate to succeed it.
     """
 
     to: str
@@ -46,43 +50,46 @@
     candidate: str
     last_index: int
     last_term: int
-    pre: bool
-    handed: bool = False
+    pre_vote: bool
+    leadership_transfer: bool = False
 
 
 @message
 class TakeOver:
-    """The leader of `term` has stopped acting; `to` should lead now."""
+    """Asks voter `to` to start an election: the leader of `term` has stopped acting."""
 
     to: str
     term: int
 
 
-@message
-class TakenOver:
-    """Answer to `TakeOver`."""
+@message(tag="TakenOver")
+class TakeOverAnswer:
+    """Answer to `TakeOver`: whether the voter starts an election."""
 
     accepted: bool
 
 
-@message
+@message(encoded_names={"leader_silence": "age"})
 class Vote:
-    """Answer to `RequestVote`; `age` is the voter's time without a leader, s."""
+    """Answer to `RequestVote`.
+
+    `leader_silence` is the time in seconds since the voter last heard a leader.
+    """
 
     term: int
     granted: bool
-    age: float = 0.0
+    leader_silence: float = 0.0
 
 
-@message
+@message(encoded_names={"previous_index": "previous"})
 class AppendEntries:
-    """Entries after `previous`, or a heartbeat if there are none."""
+    """Entries that follow `previous_index`; a heartbeat if there are none."""
 
     to: str
     term: int
     leader: str
     leader_address: str
-    previous: int
+    previous_index: int
     previous_term: int
     commit: int
     entries: tuple[Entry, ...] = ()
@@ -90,7 +97,7 @@
 
 @message
 class InstallSnapshot:
-    """The whole state, for a voter whose next entry is no longer kept."""
+    """A snapshot, for a voter whose next entry the leader no longer keeps."""
 
     to: str
     term: int
@@ -102,17 +109,18 @@
     voters: dict[str, str]
 
 
-@message
+@message(encoded_names={"match_index": "match"})
 class Appended:
-    """Answer of a follower; `match` is the last index that agrees.
+    """Answer of a follower to `AppendEntries` or `InstallSnapshot`.
 
-    Without success `match` is a hint from where to try again.
+    `match_index` is the last index at which its log agrees with the leader's.
+    Without success it is the index after which the leader should try again.
     """
 
     term: int
     success: bool
-    match: int
+    match_index: int
 
 
-# What voters ask each other.
+# Requests that voters send each other.
 VOTER_MESSAGES = (Hello, RequestVote, TakeOver, AppendEntries, InstallSnapshot)
--- a/guavastream/control/role.py
+++ b/guavastream/control/role.py
@@ -1,4 +1,4 @@
-"""The control host as a role of the daemon."""
+"""The daemon role of a control host."""
 
 import asyncio
 import fcntl
@@ -22,7 +22,7 @@
 
 @ROLES.register("control")
 class ControlRole(Role):
-    """Keeps the control log in `--data` and answers at `--peer`."""
+    """Runs a Raft voter with its log in `--data` that listens at `--peer`."""
 
     @classmethod
     def wanted(cls, settings):
@@ -73,13 +73,17 @@
 
 
 def _lock_folder(folder):
-    # Two processes on one log would both vote with the same identity.
+    """Lock the data folder and return the lock file, which must stay open."""
+    # Two processes with the same data folder would vote with one identity and
+    # could vote twice in a term.
     file = open(os.path.join(folder, LOCK_NAME), "w")
     try:
         fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError as error:
         finding = Finding(
-            place="--data", code="folder_in_use", text=f"{folder} is in use."
+            place="--data",
+            code="folder_in_use",
+            text=f"Data folder {folder} is locked by another process.",
         )
         raise FindingsError([finding]) from error
     return file
--- a/guavastream/control/service.py
+++ b/guavastream/control/service.py
@@ -1,9 +1,9 @@
-"""What a control host answers to voters, nodes and operators."""
+"""Requests of voters, nodes and operators that a control host answers."""
 
 import msgspec
 
 from guavastream.control.messages import VOTER_MESSAGES, Hello
-from guavastream.control.watching import WATCH_MESSAGES, WatchDesk
+from guavastream.control.watching import WATCH_MESSAGES, WatchService
 from guavastream.exception import NotLeader, PeerFailure
 from guavastream.leases import LeaseTiming, Renew, Renewed, Submit, Submitted
 from guavastream.messages import decode_message, message
@@ -21,7 +21,8 @@
 
 __all__ = ["AskControl", "ChangeVoters", "ControlInfo", "ControlService", "HostReport"]
 
-SUBMITTED = (
+# Commands that nodes and operators may submit to the log.
+SUBMITTABLE_COMMANDS = (
     ApplyDeclaration,
     FinishMoves,
     RegisterMember,
@@ -31,17 +32,18 @@
     Unpin,
     UsePreset,
 )
-REPORT_SECONDS = 5.0
+# Hosts that have not renewed for longer are left out of `ControlInfo`.
+MAX_REPORT_AGE_SECONDS = 5.0
 
 
 @message
 class AskControl:
-    """An operator asks the leader for its view."""
+    """Asks the leader for a `ControlInfo`."""
 
 
 @message
 class HostReport:
-    """What a live process has in force, `age` seconds ago."""
+    """State that a live process had in force `age` seconds ago."""
 
     host: str
     member: int
@@ -52,7 +54,7 @@
 
 @message
 class ControlInfo:
-    """The leader's view: voters (disk to address) and live processes."""
+    """Voters, mapped to peer addresses, and live processes known to the leader."""
 
     leader: str
     term: int
@@ -63,7 +65,7 @@
 
 @message
 class ChangeVoters:
-    """An operator adds the control host at `address`, or removes it."""
+    """Adds the control host at `address` to the voters, or removes it."""
 
     address: str
     add: bool
@@ -77,15 +79,15 @@
     raft : Raft
         This voter.
     machine : TableMachine
-        Its state.
+        The replicated state.
     keeper : LeaseKeeper
-        Used while this voter leads.
+        Leases of the members; used while this voter leads.
     planner : Planner
-        Told of new terms before a lease is renewed.
+        Prepares each new term before a lease is renewed.
     transport : Transport
-        Asks new voters for their identity.
+        Sends requests to new voters.
     timing : LeaseTiming
-        Times of leases.
+        Durations of the leases.
     clock : callable
         Monotonic time in seconds.
     """
@@ -100,33 +102,35 @@
         self._transport = transport
         self._clock = clock
         self._timing = timing or LeaseTiming()
-        self._hosts = {}
-        self._watches = WatchDesk(raft=raft, machine=machine, clock=clock)
+        self._renewals = {}
+        self._watches = WatchService(raft=raft, machine=machine, clock=clock)
 
     async def handle(self, request):
-        """Answer one message.
+        """Answer one request.
 
         Raises
         ------
         NotLeader, NotReady, PeerFailure
-            Carried to the caller by the transport.
+            Returned to the caller by the transport.
         """
         if isinstance(request, VOTER_MESSAGES):
             return await self._raft.handle(request)
         if isinstance(request, WATCH_MESSAGES):
             return await self._watches.answer(request)
-        self._require_lead()
+        self._require_leadership()
         if isinstance(request, Renew):
             return self._renew(request)
         if isinstance(request, Submit):
             return await self._submit(request)
         if isinstance(request, AskControl):
-            return self._info()
+            return self._control_info()
         if isinstance(request, ChangeVoters):
             return await self._change_voters(request)
-        raise PeerFailure(f"{type(request).__name__} is not for control hosts.")
+        raise PeerFailure(
+            f"{type(request).__name__} is not a request to a control host."
+        )
 
-    def _require_lead(self):
+    def _require_leadership(self):
         if self._raft.is_leader:
             return
         leader = self._raft.leader_address
@@ -134,21 +138,21 @@
 
     def _renew(self, request):
         self._planner.ensure_term()
-        self._hosts[request.host] = (self._clock(), request)
+        self._renewals[request.host] = (self._clock(), request)
         table = self._machine.table
         gone = False
         if request.member:
             known = request.member in table.members
             gone = not (known and self._keeper.renew(request.member))
-        # Checked again after the book was changed: a leader that was paused
-        # in between must not answer for a term that is no longer its own.
-        self._require_lead()
+        # Checked again after the lease was renewed: a leader that was paused in
+        # between may have been replaced and must not confirm the renewal.
+        self._require_leadership()
         return Renewed(duration=self._timing.duration, index=table.index, gone=gone)
 
     async def _submit(self, request):
         command = decode_message(request.tag, request.body)
-        if not isinstance(command, SUBMITTED):
-            raise PeerFailure(f"{type(command).__name__} is not for submission.")
+        if not isinstance(command, SUBMITTABLE_COMMANDS):
+            raise PeerFailure(f"{type(command).__name__} cannot be submitted.")
         self._planner.ensure_term()
         if isinstance(command, RemoveMembers):
             for member in command.members:
@@ -159,7 +163,7 @@
         encoded = msgspec.msgpack.encode(result)
         return Submitted(index=self._machine.table.index, result=encoded)
 
-    def _info(self):
+    def _control_info(self):
         now = self._clock()
         reports = [
             HostReport(
@@ -167,10 +171,10 @@
                 member=renewal.member,
                 index=renewal.index,
                 revision=renewal.revision,
-                age=now - at,
+                age=now - renewed_at,
             )
-            for host, (at, renewal) in sorted(self._hosts.items())
-            if now - at < REPORT_SECONDS
+            for host, (renewed_at, renewal) in sorted(self._renewals.items())
+            if now - renewed_at < MAX_REPORT_AGE_SECONDS
         ]
         return ControlInfo(
             leader=self._raft.leader_address,
@@ -185,10 +189,10 @@
             found = [v for v, a in self._raft.voters.items() if a == request.address]
             if not found:
                 raise PeerFailure(
-                    f"{request.address} does not vote.", code="unknown_voter"
+                    f"No voter has the address {request.address}.", code="unknown_voter"
                 )
             await self._raft.remove_voter(found[0])
-            return self._info()
+            return self._control_info()
         hello = Hello(voter=self._raft.voter, address=request.address)
         answer = await self._transport.call(request.address, hello, timeout=1.0)
         earlier = [
@@ -196,9 +200,9 @@
             for voter, address in self._raft.voters.items()
             if address == request.address and voter != answer.voter
         ]
-        # The disk that stood at this address is gone for good; as long as it
-        # counted, the group would need one more of the others.
+        # Another identity at this address means that the earlier disk is lost. While
+        # it counts as a voter, a majority needs one more of the others.
         for voter in earlier:
             await self._raft.remove_voter(voter)
         await self._raft.add_voter(answer.voter, request.address)
-        return self._info()
+        return self._control_info()
--- a/guavastream/control/storage.py
+++ b/guavastream/control/storage.py
@@ -1,4 +1,4 @@
-"""The control log on disk: checksummed records, synced before they count."""
+"""Durable storage of the control log in checksummed, synced records."""
 
 import math
 import os
@@ -16,9 +16,9 @@
 
 COMMAND = "command"
 VOTERS = "voters"
-# Length of the payload in bytes and its xxh3 checksum.
-HEADER = struct.Struct(">IQ")
-KEPT_BEHIND_SNAPSHOT = 500
+# Payload length in bytes and xxh3 checksum of the payload.
+RECORD_HEADER = struct.Struct(">IQ")
+ENTRIES_KEPT_BEFORE_SNAPSHOT = 500
 
 
 @record
@@ -33,11 +33,11 @@
 
 @record
 class Meta:
-    """What a voter must never forget.
+    """Persistent identity, term and vote of a voter.
 
-    `voter` names this disk: a host that lost its disk gets another one and
-    so cannot vote twice in a term. `voters` are those the group was formed
-    with, disk to peer address.
+    `voter` identifies the disk. A host that lost its disk gets a new identity, so
+    it cannot vote twice in a term under the old one. `voters` maps the voters with
+    which the group was formed to their peer addresses.
     """
 
     voter: str
@@ -48,7 +48,7 @@
 
 @record
 class Snapshot:
-    """State after `index`, with the voters of that moment."""
+    """State and voters after the entry at `index` was applied."""
 
     index: int = 0
     term: int = 0
@@ -57,42 +57,42 @@
 
 
 class Storage:
-    """Meta, snapshot and log of one voter in one folder.
+    """Metadata, snapshot and log of one voter, stored in one folder.
 
     Parameters
     ----------
     folder : str
-        The data folder; made if it does not exist.
+        The data folder; created if it does not exist.
 
     Raises
     ------
     DamagedLog
-        If a file is damaged elsewhere than in the log's tail.
+        If a file is damaged other than by a torn last record of the log.
 
     Notes
     -----
-    Each call of `append` writes one record and syncs it before the next, so
-    only the last record can be torn by a crash. A record that does not check
-    and is followed by more bytes is damage, not a crash. An entry whose index
-    is already taken replaces that one and all later ones.
+    Each call of `append` writes one record and syncs it before it returns, so a
+    crash can tear only the last record. An invalid record that is followed by a
+    valid one is damage and not the result of a crash. An entry whose index already
+    exists replaces that entry and all later ones.
     """
 
     def __init__(self, *, folder):
         os.makedirs(folder, exist_ok=True)
         self._folder = folder
-        # A write that a cancelled task has left behind in a thread must end
-        # before the next one begins.
+        # A cancelled task may leave a write running in its thread; the next write
+        # must wait for it.
         self._lock = threading.Lock()
-        self._end = 0
-        self.snapshot = self._read_whole("snapshot", Snapshot) or Snapshot()
+        self._log_end = 0
+        self.snapshot = self._read_file("snapshot", Snapshot) or Snapshot()
         self.entries = []
         self._log = None
-        meta = self._read_whole("meta", Meta)
+        meta = self._read_file("meta", Meta)
         if meta is None:
             meta = Meta(voter=uuid.uuid4().hex)
-            self._write_whole("meta", meta)
+            self._write_file("meta", meta)
         self.meta = meta
-        self._recover_log()
+        self._load_log()
 
     @property
     def last_index(self):
@@ -106,16 +106,16 @@
 
     @property
     def first_index(self):
-        """Index of the first entry that is still kept."""
+        """Index of the first stored entry, or the one after the snapshot."""
         return self.entries[0].index if self.entries else self.snapshot.index + 1
 
     @property
     def log_bytes(self):
         """Size of the log file in bytes."""
-        return self._end
+        return self._log_end
 
     def term_at(self, index):
-        """Return the term of an entry, or None if it is not kept."""
+        """Return the term of the entry at `index`, or None if it is not stored."""
         if index == self.snapshot.index:
             return self.snapshot.term
         offset = index - self.first_index
@@ -123,75 +123,77 @@
             return self.entries[offset].term
         return 0 if index == 0 else None
 
-    def slice(self, start, limit, most_bytes=math.inf):
+    def slice(self, start, limit, max_bytes=math.inf):
         """Return up to `limit` entries from index `start`.
 
-        They hold `most_bytes` at most, but for a single one that is larger.
+        Their data holds at most `max_bytes`, unless the first entry alone is larger.
         """
         offset = start - self.first_index
         entries = self.entries[offset : offset + limit]
         size = 0
         for number, entry in enumerate(entries):
             size += len(entry.data)
-            if number and size > most_bytes:
+            if number and size > max_bytes:
                 return tuple(entries[:number])
         return tuple(entries)
 
     def save_meta(self, **changes):
-        """Change the meta and sync it."""
+        """Change fields of the metadata and sync it to disk."""
         with self._lock:
             meta = replace(self.meta, **changes)
-            self._write_whole("meta", meta)
+            self._write_file("meta", meta)
             self.meta = meta
 
     def append(self, entries):
-        """Append entries as one synced record."""
+        """Append entries to the log as one synced record."""
         if entries:
             self.write(entries)
-            self.take(entries)
+            self.cache_entries(entries)
 
     def write(self, entries):
-        """Write entries as one record and sync it; `take` must follow.
+        """Write entries to disk as one synced record.
+
+        The caller must pass them to `cache_entries` afterwards.
 
         Raises
         ------
         OSError
-            If the disk refuses; nothing of the record counts then.
+            If the write or sync fails; the record is not part of the log then.
         """
-        data = _pack(tuple(entries))
+        data = _encode_entries(tuple(entries))
         with self._lock:
-            # What a refused write left behind must not stand before the next
-            # record, or a later start would take it for damage.
-            self._log.seek(self._end)
-            self._log.truncate(self._end)
+            # Remove what a failed write left behind: in front of the next record
+            # it would be reported as damage at the next start.
+            self._log.seek(self._log_end)
+            self._log.truncate(self._log_end)
             self._write(self._log, data)
             self._sync(self._log)
-            self._end += len(data)
+            self._log_end += len(data)
 
-    def take(self, entries):
-        """Hold entries in memory; the first may replace what is held."""
+    def cache_entries(self, entries):
+        """Add entries to those in memory, replacing all from the first index on."""
         first = entries[0].index
         if self.entries and first <= self.entries[-1].index:
             del self.entries[max(0, first - self.entries[0].index) :]
         self.entries.extend(entries)
 
-    def save_snapshot(self, snapshot, *, keep=KEPT_BEHIND_SNAPSHOT):
-        """Write a snapshot, then drop the entries that it makes needless.
+    def save_snapshot(self, snapshot, *, keep=ENTRIES_KEPT_BEFORE_SNAPSHOT):
+        """Write a snapshot, then drop the entries that it covers.
 
         Parameters
         ----------
         snapshot : Snapshot
-            State and where it stands in the log.
+            The snapshot to write.
         keep : int
-            Entries before the snapshot that stay for slow replicas.
+            Entries before the snapshot that are kept for slow replicas.
         """
         with self._lock:
             self._save_snapshot(snapshot, keep)
 
     def _save_snapshot(self, snapshot, keep):
-        # The snapshot is on disk before the log shrinks: a crash between the
-        # two leaves entries that the next start skips, never a gap.
-        self._write_whole("snapshot", snapshot)
+        # The snapshot is written before the log is shortened: a crash in between
+        # leaves superfluous entries, never a gap.
+        self._write_file("snapshot", snapshot)
         known = self.term_at(snapshot.index) == snapshot.term
         entries = self.entries if known else []
         self.snapshot = snapshot
@@ -207,7 +209,7 @@
     def _path(self, name):
         return os.path.join(self._folder, name)
 
-    def _recover_log(self):
+    def _load_log(self):
         path = self._path("log")
         if not os.path.exists(path):
             self._rewrite_log()
@@ -216,21 +218,21 @@
             data = file.read()
         offset = 0
         while offset < len(data):
-            entries, end = _unpack(data, offset)
+            entries, end = _decode_entries(data, offset)
             if entries is None:
-                # After a loss of power the last record may be torn in any
-                # way, zeros for its head included; only a whole record that
-                # follows shows that one in the middle was damaged.
-                if end < len(data) and _has_record(data, offset + 1):
+                # A power failure may tear the last record in any way; even its
+                # header may read as zeros. Only a valid record after it shows that
+                # a record in the middle is damaged.
+                if end < len(data) and _contains_record(data, offset + 1):
                     raise DamagedLog(path=path, offset=offset)
                 break
-            self.take(entries)
+            self.cache_entries(entries)
             offset = end
         self._open_log()
         if offset < len(data):
             self._log.truncate(offset)
             self._sync(self._log)
-        self._end = offset
+        self._log_end = offset
         if self.entries and self.entries[0].index > self.snapshot.index + 1:
             raise DamagedLog(path=path, offset=0)
 
@@ -240,28 +242,28 @@
     def _rewrite_log(self):
         if self._log:
             self._log.close()
-        data = _pack(tuple(self.entries)) if self.entries else b""
-        self._replace("log", data)
+        data = _encode_entries(tuple(self.entries)) if self.entries else b""
+        self._replace_file("log", data)
         self._open_log()
-        self._end = len(data)
+        self._log_end = len(data)
 
-    def _read_whole(self, name, cls):
+    def _read_file(self, name, cls):
         path = self._path(name)
         if not os.path.exists(path):
             return None
         with open(path, "rb") as file:
             data = file.read()
-        payload, end = _checked(data, 0)
+        payload, end = _read_record(data, 0)
         if payload is None or end != len(data):
             raise DamagedLog(path=path, offset=0)
         return msgspec.msgpack.decode(payload, type=cls)
 
-    def _write_whole(self, name, item):
-        self._replace(name, _frame(msgspec.msgpack.encode(item)))
+    def _write_file(self, name, item):
+        self._replace_file(name, _encode_record(msgspec.msgpack.encode(item)))
 
-    def _replace(self, name, data):
-        # Without the sync of the folder a crash may bring back the old file
-        # after the new one was relied upon.
+    def _replace_file(self, name, data):
+        # Without syncing the folder, a crash could bring back the old file after
+        # the new one was relied on.
         path = self._path(name)
         with open(path + ".new", "wb", buffering=0) as file:
             self._write(file, data)
@@ -291,20 +293,24 @@
 _entries_decoder = msgspec.msgpack.Decoder(tuple[Entry, ...])
 
 
-def _frame(payload):
-    return HEADER.pack(len(payload), xxhash.xxh3_64_intdigest(payload)) + payload
+def _encode_record(payload):
+    """Return a payload with its header."""
+    return RECORD_HEADER.pack(len(payload), xxhash.xxh3_64_intdigest(payload)) + payload
+
 
+def _encode_entries(entries):
+    return _encode_record(msgspec.msgpack.encode(entries))
 
-def _pack(entries):
-    return _frame(msgspec.msgpack.encode(entries))
 
+def _read_record(data, offset):
+    """Return the payload of the record at `offset` and the offset after it.
 
-def _checked(data, offset):
-    """Return the payload at `offset`, or None, and where the next one starts."""
-    start = offset + HEADER.size
+    The payload is None if the record is incomplete or its checksum is wrong.
+    """
+    start = offset + RECORD_HEADER.size
     if start > len(data):
         return None, len(data)
-    length, checksum = HEADER.unpack_from(data, offset)
+    length, checksum = RECORD_HEADER.unpack_from(data, offset)
     end = min(start + length, len(data))
     payload = data[start:end]
     if len(payload) != length or xxhash.xxh3_64_intdigest(payload) != checksum:
@@ -312,18 +318,19 @@
     return payload, end
 
 
-def _has_record(data, offset):
-    """Whether a whole record starts anywhere from `offset` on."""
-    for start in range(offset, len(data) - HEADER.size):
-        length, _ = HEADER.unpack_from(data, start)
-        if 0 < length <= len(data) - start - HEADER.size:
-            if _checked(data, start)[0] is not None:
+def _contains_record(data, offset):
+    """Whether a valid record starts at `offset` or later."""
+    for start in range(offset, len(data) - RECORD_HEADER.size):
+        length, _ = RECORD_HEADER.unpack_from(data, start)
+        if 0 < length <= len(data) - start - RECORD_HEADER.size:
+            if _read_record(data, start)[0] is not None:
                 return True
     return False
 
 
-def _unpack(data, offset):
-    payload, end = _checked(data, offset)
+def _decode_entries(data, offset):
+    """Return the entries of the record at `offset`, or None, and its end."""
+    payload, end = _read_record(data, offset)
     if payload is None:
         return None, end
     return _entries_decoder.decode(payload), end
--- a/guavastream/control/tests/test_catching_up.py
+++ b/guavastream/control/tests/test_catching_up.py
@@ -1,4 +1,4 @@
-"""A control host that was away catches up, however large what it missed is."""
+"""Catching up of a control host that missed many large changes."""
 
 import asyncio
 import random
@@ -8,16 +8,16 @@
 from guavastream.fleet import ChangeRoutes
 from guavastream.routes import ServiceRules
 
-# A link of 170 Mbit/s, and changes of 400 KB.
-RATE = 21_000_000.0
-ORIGIN = 400_000
+# A link of 170 Mbit/s and changes of 400 KB.
+LINK_BYTES_PER_SECOND = 21_000_000.0
+CHANGE_BYTES = 400_000
 CHANGES = 40
-SECONDS = 4.0
+CATCH_UP_SECONDS = 4.0
 
 
 def large_change(version):
-    """Return a change that compression cannot make smaller."""
-    origin = random.Random(version).randbytes(ORIGIN)
+    """Return a change with random content, which cannot be compressed."""
+    origin = random.Random(version).randbytes(CHANGE_BYTES)
     service = ServiceRules(name="s", keyed=True, origin=origin)
     return ChangeRoutes(
         base=version - 1,
@@ -29,12 +29,11 @@
     )
 
 
-def test_a_control_host_that_missed_many_large_changes_catches_up(tmp_path):
-    # A control host was away while operators made forty large changes. The
-    # leader sent them all in one message, 16 MB, and waited 0.4 s for the
-    # answer; the link takes 0.8 s. It sent the same again, behind the rest of
-    # the first, and never learned that the host had it: when two others were
-    # lost, which is allowed, no change was accepted any more.
+def test_host_that_missed_many_large_changes_catches_up(tmp_path):
+    # A control host is down while 40 large changes are made. If the leader sends
+    # them in one message of 16 MB, the link needs 0.8 s, longer than the call
+    # timeout of 0.4 s. The leader then resends it forever and never counts the host,
+    # so after the loss of two others, which is allowed, no change is accepted.
     async def main():
         core = await start_core(tmp_path)
         others = [a for a in core.addresses if a != core.leader()]
@@ -42,9 +41,9 @@
         core.kill(away)
         for version in range(2, 2 + CHANGES):
             await core.change(large_change(version))
-        core.network.narrow(away, RATE)
+        core.network.narrow(away, LINK_BYTES_PER_SECOND)
         core.start(away)
-        await asyncio.sleep(SECONDS)
+        await asyncio.sleep(CATCH_UP_SECONDS)
         for address in others[-2:]:
             core.kill(address)
         await core.change(large_change(2 + CHANGES))
--- a/guavastream/control/tests/test_disks.py
+++ b/guavastream/control/tests/test_disks.py
@@ -1,4 +1,4 @@
-"""Leaders whose disk hangs or refuses, and leaders that were suspended."""
+"""Leaders with a hanging or full disk, and leaders that were suspended."""
 
 import asyncio
 import random
@@ -11,28 +11,28 @@
 
 
 class Disk:
-    """A voter's disk: writes hang or are refused on demand."""
+    """The disk of a voter; its writes can be made to hang or fail."""
 
     def __init__(self):
-        self.hangs = asyncio.Event()
-        self.hangs.set()
+        self.writable = asyncio.Event()
+        self.writable.set()
         self.full = False
 
     async def offload(self, function, *args):
-        await self.hangs.wait()
+        await self.writable.wait()
         if self.full:
             raise OSError(28, "No space left on device")
         return function(*args)
 
 
 class Clock:
-    """A voter's steady time, ahead of the loop's by its suspensions."""
+    """Monotonic clock of a voter that includes the time spent suspended."""
 
     def __init__(self):
-        self.ahead = 0.0
+        self.suspended = 0.0
 
     def __call__(self):
-        return asyncio.get_running_loop().time() + self.ahead
+        return asyncio.get_running_loop().time() + self.suspended
 
 
 class Group:
@@ -62,7 +62,7 @@
                 if raft.is_leader and address != other_than:
                     return address
             await asyncio.sleep(0.02)
-        raise AssertionError("nobody leads")
+        raise AssertionError("no voter became leader")
 
     async def propose(self, data):
         for _ in range(500):
@@ -72,10 +72,10 @@
                     return await raft.propose(data)
             except (GuavastreamError, TimeoutError):
                 await asyncio.sleep(0.02)
-        raise AssertionError("nothing is committed")
+        raise AssertionError("no command was committed")
 
 
-def play(folder, scenario):
+def run_with_group(folder, scenario):
     async def main():
         group = Group(folder)
         await group.leader()
@@ -85,25 +85,27 @@
     run_paused(main())
 
 
-def test_a_leader_whose_disk_hangs_makes_way(tmp_path):
-    # Its heartbeats go on while nothing is committed: operators and servers
+def test_leader_with_a_hanging_disk_steps_down(tmp_path):
+    # The leader still sends heartbeats but commits nothing, so operators and servers
     # would wait for as long as the disk hangs.
     async def scenario(group):
         first = await group.leader()
-        group.disks[first].hangs.clear()
+        group.disks[first].writable.clear()
         asyncio.ensure_future(group.rafts[first].propose(b"x")).add_done_callback(
             lambda task: task.exception()
         )
         second = await group.leader(other_than=first)
         await group.propose(b"y")
         assert second != first and not group.rafts[first].is_leader
-        group.disks[first].hangs.set()
+        group.disks[first].writable.set()
         await group.propose(b"z")
 
-    play(tmp_path, scenario)
+    run_with_group(tmp_path, scenario)
 
 
-def test_a_leader_whose_disk_is_full_makes_way_and_comes_back(tmp_path):
+def test_leader_with_a_full_disk_steps_down_and_votes_again_later(tmp_path):
+    # A leader that cannot write must step down. After its disk has space again its
+    # vote is needed, because the disk of another voter is full then.
     async def scenario(group):
         first = await group.leader()
         group.disks[first].full = True
@@ -117,15 +119,16 @@
         group.disks[others[0]].full = True
         await group.propose(b"z")
 
-    play(tmp_path, scenario)
+    run_with_group(tmp_path, scenario)
 
 
-def test_a_suspended_leader_does_not_trust_its_lease(tmp_path):
-    # The host stands still for seconds and its monotonic clock with it; when
-    # it wakes, another leads. Answered from its lease, a read would be old.
+def test_resumed_leader_does_not_rely_on_its_lease(tmp_path):
+    # The host is suspended for seconds and another leader is elected. With a clock
+    # that stops during suspension the old leader would still see a valid lease when
+    # it resumes, and would answer reads with old state.
     async def scenario(group):
         first = await group.leader()
-        group.clocks[first].ahead += 3.0
+        group.clocks[first].suspended += 3.0
         assert not group.rafts[first].is_leader
 
-    play(tmp_path, scenario)
+    run_with_group(tmp_path, scenario)
--- a/guavastream/control/tests/test_fleet.py
+++ b/guavastream/control/tests/test_fleet.py
@@ -7,7 +7,7 @@
 import pytest
 
 from guavastream.control import Raft, RaftTiming, Storage, TableMachine
-from guavastream.control.fleet import FRESH_SECONDS, FleetService, VoterKeeper
+from guavastream.control.fleet import MAX_STATE_AGE_SECONDS, FleetService, VoterKeeper
 from guavastream.control.grants import Granter
 from guavastream.control.suspects import SuspectKeeper
 from guavastream.emulator import FakeNetwork, run_paused
@@ -468,7 +468,7 @@
             await core.client().call_any(
                 turn, Watch(index=index, wait=10.0), timeout=11.0
             )
-        assert loop.time() - began <= FRESH_SECONDS + TIMING.heartbeat
+        assert loop.time() - began <= MAX_STATE_AGE_SECONDS + TIMING.heartbeat
 
     run_paused(main())
 
--- a/guavastream/control/tests/test_hand_over.py
+++ b/guavastream/control/tests/test_hand_over.py
@@ -1,4 +1,4 @@
-"""A leader that stops as planned: the next one leads before it is gone."""
+"""Transfer of leadership by a leader that stops as planned."""
 
 import asyncio
 
@@ -7,16 +7,16 @@
 from guavastream.control.messages import RequestVote, TakeOver
 from guavastream.control.tests.test_raft import TIMING, with_group
 
-# Well below the time without a leader that an election takes.
-SOON = TIMING.election_min / 2
+# Well below the time that an election without a transfer takes.
+MAX_GAP_SECONDS = TIMING.election_min / 2
 
 
-def test_a_stopping_leader_is_succeeded_without_an_election_timeout(tmp_path):
-    """A control host is restarted as planned while operators send changes.
+def test_planned_stop_needs_no_election_timeout(tmp_path):
+    """The leader is stopped as planned after changes were acknowledged.
 
-    Without a hand-over nobody leads until the others have missed heartbeats
-    for a whole election timeout. Nothing acknowledged may be lost, and the
-    old leader must have stopped acting before the next one begins.
+    Without a transfer of leadership there is no leader until an election timeout
+    has passed. No acknowledged command may be lost, and there must never be two
+    leaders at a time.
     """
 
     async def scenario(group):
@@ -26,35 +26,35 @@
             await group.propose(data)
         old = await group.leader()
         began = loop.time()
-        handing = asyncio.ensure_future(group.rafts[old].hand_over())
+        transferring = asyncio.ensure_future(group.rafts[old].transfer_leadership())
         while not [leader for leader in group.leaders() if leader != old]:
             assert len(group.leaders()) <= 1
             await asyncio.sleep(0.001)
         gap = loop.time() - began
-        await handing
+        await transferring
         group.kill(old)
         await group.propose(b"after")
         await asyncio.sleep(0.2)
         return gap, sent, [machine.items for machine in group.machines.values()]
 
     gap, sent, items = with_group(tmp_path, scenario)
-    assert gap < SOON
+    assert gap < MAX_GAP_SECONDS
     assert items.count([*sent, b"after"]) >= 2
 
 
 @pytest.mark.parametrize("cut", ["successor", "all"])
-def test_a_hand_over_that_fails_ends_in_an_election(tmp_path, cut):
-    # The leader is cut off as it stops: its word reaches nobody, and the
-    # others elect a leader as after a crash.
+def test_failed_transfer_ends_in_an_election(tmp_path, cut):
+    # The leader is disconnected while it stops, so its request does not arrive.
+    # The others must elect a leader as after a crash.
     async def scenario(group):
         await group.propose(b"before")
         old = await group.leader()
         raft = group.rafts[old]
-        successor = raft.voters[raft._successor()]
+        successor = raft.voters[raft._choose_successor()]
         others = [a for a in group.addresses if a != old]
         for other in others if cut == "all" else [successor]:
             group.network.cut(old, other)
-        await raft.hand_over()
+        await raft.transfer_leadership()
         assert not raft.is_leader
         group.kill(old)
         await group.propose(b"after")
@@ -63,8 +63,9 @@
     with_group(tmp_path, scenario)
 
 
-def test_a_late_request_to_take_over_changes_nothing(tmp_path):
-    # It was held up; meanwhile a newer leader was elected.
+def test_outdated_request_to_take_over_is_refused(tmp_path):
+    # The request is delayed until a newer leader has been elected. It must not start
+    # another election.
     async def scenario(group):
         leader = await group.leader()
         term = group.rafts[leader].term
@@ -78,8 +79,8 @@
             candidate="x",
             last_index=99,
             last_term=term,
-            pre=False,
-            handed=True,
+            pre_vote=False,
+            leadership_transfer=True,
         )
         assert not (await raft.handle(vote)).granted
         await asyncio.sleep(1)
@@ -88,7 +89,9 @@
     with_group(tmp_path, scenario)
 
 
-def test_a_leader_with_a_lease_ignores_the_successor_of_an_earlier_one(tmp_path):
+def test_leader_with_a_lease_refuses_a_transfer_candidate(tmp_path):
+    # A candidate claims that the leader asked it to take over, but the leader is
+    # still acting.
     async def scenario(group):
         leader = await group.leader()
         raft = group.rafts[leader]
@@ -98,8 +101,8 @@
             candidate="x",
             last_index=99,
             last_term=raft.term,
-            pre=False,
-            handed=True,
+            pre_vote=False,
+            leadership_transfer=True,
         )
         assert not (await raft.handle(vote)).granted
         assert raft.is_leader
--- a/guavastream/control/tests/test_pauses.py
+++ b/guavastream/control/tests/test_pauses.py
@@ -1,4 +1,4 @@
-"""Whole processes that stand still and go on as if nothing had happened."""
+"""Processes that are paused and resumed without noticing it."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 def pause_everything(seconds):
-    """Let time pass with nothing run, as SIGSTOP and SIGCONT do."""
+    """Advance time without running anything, as SIGSTOP and SIGCONT do."""
     asyncio.get_running_loop()._selector.clock.advance(seconds)
 
 
@@ -39,11 +39,11 @@
     )
 
 
-def test_leader_that_was_paused_renews_nothing_when_it_goes_on(tmp_path):
-    """The leader stands still for longer than its lease, then goes on.
+def test_resumed_leader_renews_no_lease(tmp_path):
+    """The leader is paused for longer than its lease and then resumes.
 
-    Others may have been elected and have given things away, and nothing has
-    told it so yet. The first renewal that it finds in its hands is refused.
+    Another leader may have been elected and have reassigned shards, and the paused
+    one does not know it yet. It must refuse the first renewal that it handles.
     """
 
     async def scenario(group):
@@ -59,11 +59,11 @@
     with_group(tmp_path, scenario)
 
 
-def test_owner_that_was_paused_holds_nothing_when_it_goes_on():
-    """An owner stands still; the renewal that it had just sent is answered.
+def test_resumed_owner_holds_no_lease():
+    """An owner is paused right after it sent a renewal and reads the answer later.
 
-    The answer was on its way before the pause. It counts from when the
-    renewal was sent, so it is over too.
+    The lease counts from the time at which the renewal was sent, so it has expired
+    when the owner resumes.
     """
 
     async def scenario():
@@ -80,11 +80,11 @@
     run_paused(scenario())
 
 
-def test_owner_and_leader_paused_together(tmp_path):
-    """A host that leads and owns stands still; both halves wake at once.
+def test_owner_and_leader_on_one_paused_host_hold_no_lease(tmp_path):
+    """A host that runs both the leader and an owner is paused and resumes.
 
-    Neither may believe the other: the leader must not renew, the owner must
-    not count on it, and after an election all goes on.
+    The leader must not renew the lease and the owner must not rely on it. After an
+    election commands are accepted again.
     """
 
     async def scenario(group):
@@ -103,8 +103,8 @@
     with_group(tmp_path, scenario)
 
 
-def test_registration_in_the_hands_of_a_paused_leader_is_not_acknowledged(tmp_path):
-    """A command is proposed while the others are cut off for good."""
+def test_registration_at_a_disconnected_leader_is_not_acknowledged(tmp_path):
+    """A registration is submitted to a leader that cannot reach any other voter."""
 
     async def scenario(group):
         leader = await group.leader()
--- a/guavastream/control/tests/test_power.py
+++ b/guavastream/control/tests/test_power.py
@@ -1,11 +1,11 @@
-"""All hosts lose power at one moment, and the most disks that may be lost are lost.
-
-An operator was told that a change is accepted. At that moment all control hosts go
-dark, and two of five come back with empty disks. The change must be in force when the
-group has formed anew: it rests on the synced disks of three voters, so that whichever
-two are lost, one that has it is left, and no two newcomers can outvote it. A voter
-that said "stored" before its sync, or a file that was renamed without a sync of its
-folder, would show here as an older configuration or as a group that never forms.
+"""Power failure of all control hosts with the loss of as many disks as allowed.
+
+All control hosts lose power while a change is made or right after it was accepted,
+and two of five come back with empty disks. An accepted change must still be in force:
+it is synced on three disks, so one voter that has it is left whichever two are lost,
+and the two empty ones cannot outvote it. A voter that acknowledges before its sync, or
+a file renamed without syncing its folder, leads to an older configuration here or to a
+group that never forms.
 """
 
 import asyncio
@@ -22,59 +22,62 @@
 
 LOST_DISKS = 2
 VOTERS = 5
-# Writes and syncs of five voters for one change, and some that follow it.
+# Writes and syncs of five voters for one change, and some after it.
 STEPS = 12
 SECOND = ChangeRoutes(base=1, version=2, digest=b"second", whole=False, routes=(ROUTE,))
 
 
-class _NoPower(Exception):
-    """A disk does nothing any more."""
+class PowerFailure(Exception):
+    """Raised by every disk operation after the power has failed."""
 
 
 class Power:
-    """The power of all hosts; it fails at a step of any disk.
+    """Simulated power supply of all hosts; fails at a given disk operation.
 
-    Keeps for each folder what would be there after a loss of power: the content
-    of each file as of its last sync, under the names of the folder's last sync.
+    Tracks what each folder would contain after a power failure: the content of each
+    file at its last sync, under the name it had at the folder's last sync.
     """
 
     def __init__(self):
-        self.left = None
+        self.steps_left = None
         self.off = asyncio.Event()
-        self.kept = {}
+        self.synced = {}
         self._renamed = {}
-        self._torn = {}
+        self._unsynced = {}
 
     def step(self):
-        """Do one step of a disk, unless the power has failed."""
+        """Count one disk operation; raise `PowerFailure` if the power is off."""
         if self.off.is_set():
-            raise _NoPower
-        if self.left is not None:
-            self.left -= 1
-            if self.left < 0:
+            raise PowerFailure
+        if self.steps_left is not None:
+            self.steps_left -= 1
+            if self.steps_left < 0:
                 self.off.set()
-                raise _NoPower
+                raise PowerFailure
 
     def write(self, folder, name, content):
-        self._torn[folder, name] = content
+        self._unsynced[folder, name] = content
 
     def sync(self, folder, name, content):
-        self.kept.setdefault(folder, {})[name] = content
-        self._torn.pop((folder, name), None)
+        self.synced.setdefault(folder, {})[name] = content
+        self._unsynced.pop((folder, name), None)
 
     def rename(self, folder, old, new):
         self._renamed.setdefault(folder, []).append((old, new))
 
     def sync_folder(self, folder):
-        files = self.kept.setdefault(folder, {})
+        files = self.synced.setdefault(folder, {})
         for old, new in self._renamed.pop(folder, ()):
             if old in files:
                 files[new] = files.pop(old)
 
-    def lay_out(self, folder, target, *, torn):
-        """Write what is left of a folder; with `torn` half of later writes too."""
-        files = dict(self.kept.get(folder, {}))
-        for (other, name), content in self._torn.items():
+    def restore(self, folder, target, *, torn):
+        """Write the surviving files of a folder to `target`.
+
+        With `torn` half of the bytes appended since the last sync survive too.
+        """
+        files = dict(self.synced.get(folder, {}))
+        for (other, name), content in self._unsynced.items():
             synced = files.get(name, b"")
             if torn and other == folder and content.startswith(synced):
                 more = content[len(synced) :]
@@ -86,7 +89,7 @@
 
 
 class PoweredStorage(Storage):
-    """A disk that loses what is not synced when the power fails."""
+    """Storage that reports each disk operation to `Power`."""
 
     def __init__(self, *, folder, power):
         self._power = power
@@ -94,8 +97,8 @@
 
     def _content(self, file):
         name = os.path.basename(file.name)
-        with open(file.name, "rb") as again:
-            return name, again.read()
+        with open(file.name, "rb") as reader:
+            return name, reader.read()
 
     def _write(self, file, data):
         self._power.step()
@@ -120,7 +123,7 @@
 
 
 class PoweredCore(Core):
-    """Control hosts that share one power line."""
+    """Control hosts that share one power supply."""
 
     def __init__(self, folder, power):
         super().__init__(folder, FakeNetwork(seed=1), count=VOTERS)
@@ -132,26 +135,26 @@
     async def offload(self, function, *args):
         try:
             return function(*args)
-        except _NoPower:
-            # The process ends with its host, in the middle of what it did.
+        except PowerFailure:
+            # The host is off, so the operation never returns.
             return await asyncio.Event().wait()
 
 
-async def change_until_dark(folder, power, left):
-    """Commit a change with a loss of power at a step; return what was accepted."""
+async def change_until_power_failure(folder, power, steps):
+    """Make a change while the power fails; return the last accepted version."""
     core = PoweredCore(folder, power)
     core.start_all()
     await core.until_full(VOTERS)
     await core.change(FIRST)
-    # All voters have written what came before.
+    # Let all voters write the first change.
     await asyncio.sleep(2.0)
-    power.left = left
+    power.steps_left = steps
     changing = asyncio.ensure_future(core.change(SECOND))
-    dark = asyncio.ensure_future(power.off.wait())
-    await asyncio.wait({changing, dark}, return_when=asyncio.FIRST_COMPLETED)
+    power_off = asyncio.ensure_future(power.off.wait())
+    await asyncio.wait({changing, power_off}, return_when=asyncio.FIRST_COMPLETED)
     accepted = changing.done() and changing.result().version
-    # A step that is never reached: the power fails when all have written.
-    await asyncio.wait({dark}, timeout=1.0)
+    # If there are fewer operations than `steps`, the power fails after all of them.
+    await asyncio.wait({power_off}, timeout=1.0)
     power.off.set()
     changing.cancel()
     for address in list(core.rafts):
@@ -159,43 +162,48 @@
     return accepted or FIRST.version
 
 
-async def read_after(folder, power, lost, *, torn):
-    """Return the version in force after the power is back without some disks."""
+async def read_after_restart(folder, power, lost, *, torn):
+    """Restart all hosts without the `lost` disks; return the version in force."""
     core = Core(folder, FakeNetwork(seed=2), count=VOTERS)
     for number, address in enumerate(core.addresses):
         disk = f"{address}-again"
         if number not in lost:
             before = str(folder.parent / "before" / address)
-            power.lay_out(before, str(folder / disk), torn=torn)
+            power.restore(before, str(folder / disk), torn=torn)
         core.start(address, first=False, disk=disk)
     for _ in range(200):
         try:
             return await core.read()
         except GuavastreamError:
             await asyncio.sleep(0.1)
-    raise AssertionError("nobody leads")
+    raise AssertionError("no control host became leader")
 
 
-@pytest.mark.parametrize("left", range(STEPS + 1))
-def test_what_was_accepted_survives_the_loss_of_power_and_two_disks(tmp_path, left):
-    """The power fails at each single write and sync of a change in turn."""
+@pytest.mark.parametrize("steps", range(STEPS + 1))
+def test_accepted_change_survives_a_power_failure_and_two_lost_disks(tmp_path, steps):
+    """The power fails at each write and sync of a change in turn."""
 
     async def main():
         power = Power()
-        accepted = await change_until_dark(tmp_path / "before", power, left)
+        accepted = await change_until_power_failure(tmp_path / "before", power, steps)
         pairs = itertools.combinations(range(VOTERS), LOST_DISKS)
         for number, lost in enumerate(pairs):
             folder = tmp_path / f"after-{number}"
-            version = await read_after(folder, power, lost, torn=number % 2 == 1)
+            version = await read_after_restart(
+                folder, power, lost, torn=number % 2 == 1
+            )
             assert accepted <= version <= SECOND.version, (lost, accepted, version)
 
     run_paused(main())
 
 
-def test_the_last_step_is_after_the_acknowledgement(tmp_path):
-    # Else the steps above would not reach all that a change rests on.
+def test_change_is_accepted_before_the_last_step(tmp_path):
+    # Otherwise the test above would not cover every write that an accepted change
+    # depends on.
     async def main():
         power = Power()
-        assert await change_until_dark(tmp_path, power, STEPS) == SECOND.version
+        assert (
+            await change_until_power_failure(tmp_path, power, STEPS) == SECOND.version
+        )
 
     run_paused(main())
--- a/guavastream/control/tests/test_raft.py
+++ b/guavastream/control/tests/test_raft.py
@@ -1,4 +1,4 @@
-"""Failures of voters: cuts, losses, replacements, lost and doubled messages."""
+"""Failures of voters: partitions, crashes, lost disks, lost and duplicate messages."""
 
 import asyncio
 import random
@@ -15,7 +15,7 @@
 
 
 class Applied(StateMachine):
-    """Keeps all commands; the whole list is the state."""
+    """State machine whose state is the list of all applied commands."""
 
     def __init__(self):
         self.items = []
@@ -32,7 +32,7 @@
 
 
 class Group:
-    """Voters in one loop, on real files and a fake network."""
+    """Voters on one event loop, with real files and a fake network."""
 
     def __init__(self, folder, *, count=3, network=None):
         self.folder = folder
@@ -76,10 +76,10 @@
             if self.leaders():
                 return self.leaders()[0]
             await asyncio.sleep(0.01)
-        raise AssertionError("nobody leads")
+        raise AssertionError("no voter became leader")
 
     async def propose(self, data, seconds=5.0):
-        """Propose at whoever leads until a proposal is acknowledged."""
+        """Propose to the current leader until a proposal is acknowledged."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + seconds
         while loop.time() < deadline:
@@ -109,6 +109,7 @@
 
 
 def test_acknowledged_commands_reach_every_voter(tmp_path):
+    # Every voter must apply all acknowledged commands in the same order.
     async def scenario(group):
         for number in range(20):
             await group.propose(b"%d" % number)
@@ -120,11 +121,11 @@
 
 
 @pytest.mark.parametrize("direction", ["both", "out", "in"])
-def test_leader_cut_off_stops_within_its_lease(tmp_path, direction):
-    """Operators at the old leader get no answer, those at the new one do.
+def test_disconnected_leader_stops_within_its_lease(tmp_path, direction):
+    """The leader is disconnected, in one direction or both, without an error.
 
-    The leader is cut off silently, in both directions or in one. It must
-    stop acting within its lease, before anybody else may be elected.
+    It must stop acting within its lease, before another leader can be elected.
+    Otherwise two leaders would answer operators at once.
     """
 
     async def scenario(group):
@@ -151,11 +152,11 @@
     with_group(tmp_path, scenario)
 
 
-def test_returning_voter_does_not_disturb_the_others(tmp_path):
-    """Changes go on without a pause when a voter comes back from a cut.
+def test_voter_that_reconnects_does_not_depose_the_leader(tmp_path):
+    """A disconnected voter stands for election in vain and then reconnects.
 
-    Cut off, it tries in vain to be elected. Without the pre-vote its term
-    would have risen and thrown the leader out at its return.
+    Without the pre-vote its term would have risen, and its return would depose the
+    leader and interrupt changes.
     """
 
     async def scenario(group):
@@ -174,11 +175,11 @@
     with_group(tmp_path, scenario)
 
 
-def test_second_loss_right_after_a_replacement_loses_nothing(tmp_path):
-    """An operator replaces a lost control host; then another one is lost.
+def test_loss_of_a_voter_after_a_replacement_loses_nothing(tmp_path):
+    """An operator replaces a lost control host, then another one is lost.
 
-    The new voter counts only once it has caught up, so every acknowledged
-    command is on two of the three disks when the second loss comes.
+    If the new voter counted before it has caught up, an acknowledged command could
+    be on only one of the three disks when the second host is lost.
     """
 
     async def scenario(group):
@@ -205,12 +206,12 @@
     with_group(tmp_path, scenario)
 
 
-def test_voter_that_lost_its_disk_stays_outside(tmp_path):
-    """A control host comes back with an empty disk and votes for nobody.
+def test_voter_that_lost_its_disk_does_not_rejoin_by_itself(tmp_path):
+    """A control host comes back with an empty disk and must not vote.
 
-    It may have voted and acknowledged before; as the same voter it could help
-    elect a leader that lacks what it forgot. Its new disk is a new voter,
-    which waits to be added; a message to the old one is refused.
+    It may have voted and acknowledged entries before. As the same voter it could
+    help to elect a leader without those entries. The new disk is a new voter that
+    has to be added, and requests to the old one are refused.
     """
 
     async def scenario(group):
@@ -230,11 +231,11 @@
     with_group(tmp_path, scenario)
 
 
-def test_joined_voter_never_seems_blank(tmp_path):
-    """A voter that joined later answers with its group, as a founder does.
+def test_added_voter_reports_its_group(tmp_path):
+    """A voter that was added later answers `Hello` with its group.
 
-    If it seemed blank, two hosts with empty disks and it would form a second
-    group, and everything acknowledged would be gone.
+    If it reported no group, it could form a second group with two hosts that have
+    empty disks, and all acknowledged commands would be lost.
     """
 
     async def scenario(group):
@@ -248,11 +249,11 @@
     with_group(tmp_path, scenario)
 
 
-def test_snapshot_for_one_who_missed_much_while_entries_arrive(tmp_path):
-    """A control host was away for hundreds of changes, which go on coming.
+def test_snapshot_is_installed_while_entries_arrive(tmp_path):
+    """A control host was down for hundreds of changes, and more are being made.
 
-    The entries it lacks are no longer kept, so it gets the whole state, and
-    after it the entries that were made meanwhile; none twice, none lost.
+    The entries it lacks are no longer kept, so it gets a snapshot and then the
+    entries made meanwhile. None may be lost or applied twice.
     """
 
     async def scenario(group):
@@ -284,11 +285,11 @@
     )
 
 
-def test_restart_of_all_at_once_brings_back_everything(tmp_path):
-    """All control hosts are killed at the same moment and started again.
+def test_restart_of_all_voters_loses_nothing(tmp_path):
+    """All control hosts are killed at the same moment and restarted.
 
-    Every acknowledged command is back, and the next term is a higher one, so
-    that no epoch made from the log is ever used twice.
+    No acknowledged command may be lost. The next term must be higher, because
+    epochs derived from the log must never repeat.
     """
 
     async def scenario(group):
@@ -318,13 +319,13 @@
     lost=st.sampled_from([0.0, 0.05, 0.2]),
     doubled=st.sampled_from([0.0, 0.2]),
 )
-def test_random_faults_never_lose_or_fork(
+def test_random_faults_lose_nothing_and_never_split_the_group(
     tmp_path_factory, faults, seed, lost, doubled
 ):
-    """Messages are lost, doubled, delayed and reordered; hosts cut and killed.
+    """Messages are lost, duplicated, delayed and reordered; hosts fail.
 
-    However they fall: no two voters act as leader at one moment, no two apply
-    different commands at one place, and what was acknowledged stays.
+    Under any such faults no two voters may act as leader at the same time or apply
+    different commands at the same index, and no acknowledged command may be lost.
     """
     network = FakeNetwork(seed=seed, lost=lost, doubled=doubled, slowest=0.03)
 
@@ -333,7 +334,7 @@
         watcher = asyncio.ensure_future(_assert_single_leader(group))
         writer = asyncio.ensure_future(_write(group, acknowledged))
         for kind, number, seconds in faults:
-            _inflict(group, kind, group.addresses[number])
+            _apply_fault(group, kind, group.addresses[number])
             await asyncio.sleep(seconds)
         network.heal()
         network.lost = network.doubled = 0.0
@@ -375,7 +376,7 @@
         await asyncio.sleep(0.01)
 
 
-def _inflict(group, kind, address):
+def _apply_fault(group, kind, address):
     if kind == "isolate":
         group.network.isolate(address, group.addresses)
     elif kind == "oneway":
--- a/guavastream/control/tests/test_storage.py
+++ b/guavastream/control/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""Crashes and damage of the control log, on real files."""
+"""Crashes and damaged files of the control log, tested on real files."""
 
 import os
 import shutil
@@ -14,19 +14,19 @@
 
 
 class Crash(Exception):
-    """The process ends here."""
+    """Simulated crash of the process."""
 
 
 class CrashingStorage(Storage):
-    """Ends at the `fatal`-th write or sync; a write is torn in the middle."""
+    """Crashes after `steps` writes and syncs; the failing write is torn in half."""
 
-    def __init__(self, *, folder, fatal):
-        self.left = fatal
+    def __init__(self, *, folder, steps):
+        self.steps_left = steps
         super().__init__(folder=folder)
 
     def _step(self):
-        self.left -= 1
-        return self.left < 0
+        self.steps_left -= 1
+        return self.steps_left < 0
 
     def _write(self, file, data):
         if self._step():
@@ -45,8 +45,8 @@
         super()._sync_folder()
 
 
-def work(storage, acknowledged):
-    """Do what a voter does; note each thing once it is acknowledged."""
+def run_workload(storage, acknowledged):
+    """Append, save metadata and a snapshot; record what was acknowledged."""
     for number in range(1, 6):
         storage.append(make_entries(number * 2 - 1, 2))
         acknowledged["index"] = number * 2
@@ -57,29 +57,29 @@
             acknowledged["snapshot"] = 5
 
 
-@pytest.mark.parametrize("fatal", range(60))
-def test_crash_at_every_write_loses_nothing_acknowledged(tmp_path, fatal):
-    """A voter is killed at each of its writes and syncs in turn.
+@pytest.mark.parametrize("steps", range(60))
+def test_crash_at_any_write_loses_nothing_acknowledged(tmp_path, steps):
+    """A voter crashes at each of its writes and syncs in turn.
 
-    What it had acknowledged before must be there after its restart: other
-    voters and operators relied on it. What it was writing may or may not be.
+    Everything it acknowledged before must be there after its restart, because other
+    voters and operators rely on it. The write in progress may be kept or lost.
     """
     acknowledged = {"index": 0, "term": 0, "snapshot": 0}
     try:
-        work(CrashingStorage(folder=str(tmp_path), fatal=fatal), acknowledged)
+        run_workload(CrashingStorage(folder=str(tmp_path), steps=steps), acknowledged)
     except Crash:
         pass
-    again = Storage(folder=str(tmp_path))
-    assert again.last_index >= acknowledged["index"]
-    assert again.meta.term >= acknowledged["term"]
-    assert again.snapshot.index >= acknowledged["snapshot"]
-    indexes = [entry.index for entry in again.entries]
-    assert indexes == list(range(again.first_index, again.last_index + 1))
-    again.append(make_entries(again.last_index + 1, 1))
+    reopened = Storage(folder=str(tmp_path))
+    assert reopened.last_index >= acknowledged["index"]
+    assert reopened.meta.term >= acknowledged["term"]
+    assert reopened.snapshot.index >= acknowledged["snapshot"]
+    indexes = [entry.index for entry in reopened.entries]
+    assert indexes == list(range(reopened.first_index, reopened.last_index + 1))
+    reopened.append(make_entries(reopened.last_index + 1, 1))
 
 
-def test_tail_torn_at_any_byte_is_cut(tmp_path):
-    """A crash leaves any part of the last record; the rest must stay whole."""
+def test_record_torn_at_any_byte_is_dropped(tmp_path):
+    """A crash leaves any part of the last record; earlier records must be kept."""
     storage = Storage(folder=str(tmp_path / "whole"))
     storage.append(make_entries(1, 3))
     size = storage.log_bytes
@@ -91,11 +91,11 @@
         assert Storage(folder=str(folder)).last_index == 3
 
 
-def test_damage_before_the_tail_is_refused_with_its_place(tmp_path):
-    """A disk returns other bytes than were written, in the middle of the log.
+def test_damage_before_the_last_record_is_reported_with_its_offset(tmp_path):
+    """The disk returns wrong bytes in the middle of the log.
 
-    Cutting there would forget acknowledged entries and let the voter help
-    elect a leader without them, so it must not start at all.
+    Truncating the log there would drop acknowledged entries, and the voter could
+    help to elect a leader without them. It must refuse to start.
     """
     storage = Storage(folder=str(tmp_path))
     storage.append(make_entries(1, 3))
@@ -112,8 +112,8 @@
 
 
 @pytest.mark.parametrize("name", ["meta", "snapshot"])
-def test_damaged_whole_file_is_refused(tmp_path, name):
-    """A voter that forgot its vote could vote twice; it must not start."""
+def test_damaged_meta_or_snapshot_is_refused(tmp_path, name):
+    """A voter whose vote is lost could vote twice in a term; it must not start."""
     storage = Storage(folder=str(tmp_path))
     storage.append(make_entries(1, 3))
     storage.save_snapshot(Snapshot(index=2, term=1, data=b"state"))
@@ -124,20 +124,20 @@
         Storage(folder=str(tmp_path))
 
 
-def test_later_entry_replaces_what_it_conflicts_with(tmp_path):
-    """A follower held entries of a leader that lost; the new leader's win.
+def test_later_entry_replaces_conflicting_entries(tmp_path):
+    """A follower replaces entries of a deposed leader by those of the new one.
 
-    The log is only appended to, so the order of records decides at restart.
+    Both are in the log file, so after a restart the later record must win.
     """
     storage = Storage(folder=str(tmp_path))
     storage.append(make_entries(1, 5))
     storage.append(make_entries(3, 1, term=2))
-    again = Storage(folder=str(tmp_path))
-    assert [(e.index, e.term) for e in again.entries] == [(1, 1), (2, 1), (3, 2)]
+    reopened = Storage(folder=str(tmp_path))
+    assert [(e.index, e.term) for e in reopened.entries] == [(1, 1), (2, 1), (3, 2)]
 
 
-def test_folder_stays_bounded(tmp_path):
-    """Snapshots keep the folder small however many changes pass."""
+def test_snapshots_bound_the_size_of_the_log(tmp_path):
+    """Without dropping entries at each snapshot the log would fill the disk."""
     storage = Storage(folder=str(tmp_path))
     for first in range(1, 4000, 100):
         storage.append(make_entries(first, 100))
@@ -146,22 +146,22 @@
     assert Storage(folder=str(tmp_path)).last_index == storage.last_index
 
 
-def test_a_torn_head_of_zeros_is_a_torn_tail(tmp_path):
-    # After a loss of power the file has its new length but not its bytes.
+def test_trailing_zeros_are_dropped_as_a_torn_record(tmp_path):
+    # After a power failure a file may have its new length but zeros as content.
     storage = Storage(folder=str(tmp_path))
     storage.append(make_entries(1, 2))
     storage.close()
     with open(tmp_path / "log", "ab") as file:
         file.write(bytes(500))
-    again = Storage(folder=str(tmp_path))
-    assert again.last_index == 2
-    again.append(make_entries(3, 1))
-    again.close()
+    reopened = Storage(folder=str(tmp_path))
+    assert reopened.last_index == 2
+    reopened.append(make_entries(3, 1))
+    reopened.close()
     assert Storage(folder=str(tmp_path)).last_index == 3
 
 
 class FullDisk(Storage):
-    """Refuses writes in the middle while `full`."""
+    """Fails in the middle of each write while `full` is set."""
 
     full = False
 
@@ -172,9 +172,9 @@
         super()._write(file, data)
 
 
-def test_a_refused_write_leaves_nothing_before_the_next(tmp_path):
-    # The half record of the refused write stood before the next one, and the
-    # next start took it for damage in the middle of the log.
+def test_failed_write_leaves_nothing_in_front_of_the_next_record(tmp_path):
+    # A write fails halfway because the disk is full. If its bytes stay in the file
+    # in front of the next record, the next start reports a damaged log.
     storage = FullDisk(folder=str(tmp_path))
     storage.append(make_entries(1, 2))
     storage.full = True
@@ -186,5 +186,5 @@
     storage.full = False
     storage.append(make_entries(3, 1))
     storage.close()
-    again = Storage(folder=str(tmp_path))
-    assert again.last_index == 3 and again.meta.term == 0
+    reopened = Storage(folder=str(tmp_path))
+    assert reopened.last_index == 3 and reopened.meta.term == 0
--- a/guavastream/control/tests/test_votes.py
+++ b/guavastream/control/tests/test_votes.py
@@ -1,4 +1,4 @@
-"""Promises that one voter keeps, asked of it directly."""
+"""Rules that a single voter follows, tested by calling it directly."""
 
 import asyncio
 import random
@@ -11,7 +11,7 @@
 from guavastream.exception import PeerFailure
 
 TIMING = RaftTiming()
-SILENCE = TIMING.election_min + 0.001
+SILENCE_SECONDS = TIMING.election_min + 0.001
 ADDRESS = "10.0.0.1:1"
 
 
@@ -29,44 +29,46 @@
     )
 
 
-def ask(raft, candidate, *, term=5, index=9, index_term=3, pre=False):
+def make_vote_request(
+    raft, candidate, *, term=5, index=9, index_term=3, pre_vote=False
+):
     return RequestVote(
         to=raft.voter,
         term=term,
         candidate=candidate,
         last_index=index,
         last_term=index_term,
-        pre=pre,
+        pre_vote=pre_vote,
     )
 
 
-def test_one_vote_in_a_term_also_after_a_restart(tmp_path):
-    """Two candidates ask the same voter in one term; it restarts in between.
+def test_one_vote_per_term_across_a_restart(tmp_path):
+    """Two candidates ask a voter in the same term; it restarts in between.
 
-    With both votes two leaders could be elected in that term.
+    If it voted for both, two leaders could be elected in that term.
     """
 
     async def scenario():
         raft = make_voter(tmp_path)
-        await asyncio.sleep(SILENCE)
-        assert (await raft.handle(ask(raft, "b"))).granted
-        again = Raft(
+        await asyncio.sleep(SILENCE_SECONDS)
+        assert (await raft.handle(make_vote_request(raft, "b"))).granted
+        restarted = Raft(
             storage=Storage(folder=str(tmp_path)),
             transport=FakeNetwork().transport(ADDRESS),
             address=ADDRESS,
             peers=(),
             machine=StateMachine(),
         )
-        await asyncio.sleep(SILENCE)
-        assert not (await again.handle(ask(again, "c"))).granted
-        await asyncio.sleep(SILENCE)
-        assert (await again.handle(ask(again, "b"))).granted
+        await asyncio.sleep(SILENCE_SECONDS)
+        assert not (await restarted.handle(make_vote_request(restarted, "c"))).granted
+        await asyncio.sleep(SILENCE_SECONDS)
+        assert (await restarted.handle(make_vote_request(restarted, "b"))).granted
 
     run_paused(scenario())
 
 
-def test_no_vote_for_a_candidate_that_lacks_entries(tmp_path):
-    """A candidate without what this voter acknowledged must not lead.
+def test_no_vote_for_a_candidate_without_acknowledged_entries(tmp_path):
+    """A candidate lacks entries that this voter has acknowledged.
 
     As the leader it would replace those entries by its own.
     """
@@ -74,10 +76,12 @@
     async def scenario():
         entries = [Entry(index=n, term=3) for n in (1, 2, 3)]
         raft = make_voter(tmp_path, entries=entries)
-        await asyncio.sleep(SILENCE)
-        assert not (await raft.handle(ask(raft, "b", index=2))).granted
+        await asyncio.sleep(SILENCE_SECONDS)
+        assert not (await raft.handle(make_vote_request(raft, "b", index=2))).granted
         assert not (
-            await raft.handle(ask(raft, "b", index=9, index_term=2, pre=True))
+            await raft.handle(
+                make_vote_request(raft, "b", index=9, index_term=2, pre_vote=True)
+            )
         ).granted
 
     run_paused(scenario())
@@ -85,10 +89,10 @@
 
 @pytest.mark.parametrize("restarted", [False, True])
 def test_no_vote_while_a_leader_may_rely_on_its_lease(tmp_path, restarted):
-    """A voter that just heard from a leader is asked for its vote.
+    """A voter that has recently answered a leader is asked for its vote.
 
-    The leader counts on its silence and still renews leases. A voter that
-    restarted cannot know what it promised and counts from its start.
+    That leader relies on its lease and still renews leases of members. A restarted
+    voter does not know when it last answered, so it waits from its start.
     """
 
     async def scenario():
@@ -100,47 +104,48 @@
                 term=4,
                 leader="b",
                 leader_address="b",
-                previous=0,
+                previous_index=0,
                 previous_term=0,
                 commit=0,
             )
             assert (await raft.handle(heartbeat)).success
         await asyncio.sleep(TIMING.election_min - 0.01)
-        for pre in (True, False):
-            assert not (await raft.handle(ask(raft, "c", pre=pre))).granted
+        for pre_vote in (True, False):
+            assert not (
+                await raft.handle(make_vote_request(raft, "c", pre_vote=pre_vote))
+            ).granted
         await asyncio.sleep(0.02)
-        assert (await raft.handle(ask(raft, "c"))).granted
+        assert (await raft.handle(make_vote_request(raft, "c"))).granted
 
     run_paused(scenario())
 
 
-def test_entry_of_an_earlier_term_is_not_committed_by_counting(tmp_path):
-    """A new leader finds that a majority holds an entry of an earlier term.
+def test_entry_of_an_earlier_term_is_not_committed_by_replica_count(tmp_path):
+    """A new leader finds an entry of an earlier term on a majority of voters.
 
-    That entry can still be replaced by a leader that never saw it (Raft,
-    figure 8), so an operator must not be told it is accepted before an entry
-    of the leader's own term stands behind it.
+    A later leader without that entry can still replace it (Raft paper, figure 8).
+    It must not be acknowledged before an entry of the leader's own term follows it.
     """
 
     async def scenario():
         raft = make_voter(tmp_path, entries=[Entry(index=1, term=2)])
         raft._leading = True
-        raft._match = {raft.voter: 1, "b": 1, "c": 1}
+        raft._match_indexes = {raft.voter: 1, "b": 1, "c": 1}
         raft._advance_commit()
         assert raft.applied == 0
         raft._storage.append([Entry(index=2, term=3)])
-        raft._match = {raft.voter: 2, "b": 2}
+        raft._match_indexes = {raft.voter: 2, "b": 2}
         raft._advance_commit()
         assert raft.applied == 2
 
     run_paused(scenario())
 
 
-def test_voter_counts_only_once_it_has_caught_up(tmp_path):
-    """An operator adds a host that cannot be reached; it must not count.
+def test_host_that_does_not_catch_up_is_not_added(tmp_path):
+    """An operator adds a host that cannot be reached; it must not become a voter.
 
-    If it did, the group of three would need three of four, and the loss of
-    one more host would stop all changes.
+    Otherwise a majority would be three of four voters instead of two of three, and
+    the loss of one more host would stop all changes.
     """
 
     async def scenario():
@@ -156,17 +161,17 @@
     run_paused(scenario())
 
 
-def test_message_for_another_disk_is_refused(tmp_path):
-    """A host got a new disk; the others still write to the old one's name.
+def test_request_for_another_disk_is_refused(tmp_path):
+    """A host got a new disk, and other voters still address the old one.
 
-    Answered by the new disk, an acknowledgement would count for entries that
-    the old disk held and this one does not.
+    If the new disk answered, its answers would count for entries that only the old
+    disk had.
     """
 
     async def scenario():
         raft = make_voter(tmp_path)
         request = RequestVote(
-            to="old", term=9, candidate="b", last_index=9, last_term=9, pre=False
+            to="old", term=9, candidate="b", last_index=9, last_term=9, pre_vote=False
         )
         with pytest.raises(PeerFailure) as caught:
             await raft.handle(request)
@@ -175,18 +180,18 @@
     run_paused(scenario())
 
 
-def test_what_is_left_of_a_lost_lead_does_not_speak_for_the_next(tmp_path):
-    """A leader is followed by another; a message of its own is still to be made.
+def test_deposed_leader_sends_no_message_in_the_next_term(tmp_path):
+    """A deposed leader makes one more message after it has seen a newer term.
 
-    Under the newest term it would pass for the word of that term's leader,
-    and followers would drop entries that the real one has committed.
+    If the message had the newer term, followers would take it for one of that
+    term's leader and drop entries which that leader has committed.
     """
 
     async def scenario():
         raft = make_voter(tmp_path)
-        raft._lead_term = raft.term
-        await asyncio.sleep(SILENCE)
-        await raft.handle(ask(raft, "b", term=9))
-        assert raft.term == 9 and raft._append("c", 0, ()).term == 3
+        raft._leader_term = raft.term
+        await asyncio.sleep(SILENCE_SECONDS)
+        await raft.handle(make_vote_request(raft, "b", term=9))
+        assert raft.term == 9 and raft._make_append_request("c", 0, ()).term == 3
 
     run_paused(scenario())
--- a/guavastream/control/voter.py
+++ b/guavastream/control/voter.py
@@ -1,4 +1,4 @@
-"""What a voter keeps, whoever leads (Raft).
+"""State of a Raft voter that does not depend on its role.
 
 References
 ----------
@@ -19,21 +19,26 @@
 
 __all__ = ["RaftTiming", "StateMachine", "Voter"]
 
-SNAPSHOT_EVERY = 2000
-# Longer than any election takes while a majority is in touch.
-HINT_SECONDS = 1.0
-# Bound on the difference of two clocks' rates, as a share.
-DRIFT = 0.02
+ENTRIES_PER_SNAPSHOT = 2000
+# Longer than an election takes while a majority of voters is connected.
+LEADER_HINT_SECONDS = 1.0
+# Largest relative difference between the rates of two clocks.
+MAX_CLOCK_DRIFT = 0.02
 
 log = part_logger("control")
 
 
 @dataclass(frozen=True, kw_only=True)
 class RaftTiming:
-    """Times of the voters, in seconds.
+    """Raft timeouts in seconds.
 
-    `lease` must be shorter than `election_min` by more than the clocks may
-    differ in rate, so that a leader cut off stops before another is elected.
+    `heartbeat` is the interval between heartbeats, `election_min` and
+    `election_max` bound the random election timeout, `lease` is how long a leader
+    may act after a majority has answered it, and `call` is the timeout of a
+    request to another voter.
+
+    `lease` must be shorter than `election_min` by more than the clock drift, so
+    that a disconnected leader stops acting before another one is elected.
     """
 
     heartbeat: float = 0.05
@@ -44,57 +49,57 @@
 
 
 class StateMachine:
-    """What the log is applied to; the defaults keep nothing."""
+    """State machine to which the log is applied; this base class keeps no state."""
 
     def check(self, data):
-        """Raise an error if the command in `data` could not be applied now."""
+        """Raise an error if the command in `data` cannot be applied to the state."""
 
     def apply(self, index, data):
         """Apply the command in `data` and return its result."""
 
     def dump(self):
-        """Return the whole state as bytes."""
+        """Return a snapshot of the whole state."""
         return b""
 
     def load(self, index, data):
-        """Replace the state by that of `data`, which stands at `index`."""
+        """Replace the state with the snapshot `data`, taken after entry `index`."""
 
 
 async def call_directly(function, *args):
-    """Run a blocking function in place; the daemon passes a thread instead."""
+    """Call a blocking function on the event loop; stands in for a worker thread."""
     return function(*args)
 
 
 class Voter:
-    """What a voter is whether or not it leads: its promises and its log.
+    """State that a voter has in every role: its term, vote, log and commit index.
 
     Parameters
     ----------
     storage : Storage
         Durable state of this voter.
     transport : Transport
-        Reaches the other voters.
+        Sends requests to the other voters.
     address : str
-        Own peer address.
+        Peer address of this voter.
     peers : tuple of str
-        Peer addresses of all voters with which a new group is formed.
+        Peer addresses of all voters of a new group, this one included.
     machine : StateMachine
-        Applied to by every committed command.
+        Receives every committed command.
     timing : RaftTiming
-        Timeouts.
+        Timeouts of the protocol.
     rng : random.Random
-        Spreads the election timeouts.
+        Randomizes the election timeouts.
     offload : callable, optional
-        Coroutine function that runs blocking writes.
+        Coroutine function that runs blocking disk writes, for example in a thread.
     record : callable, optional
-        Takes the kind and fields of an event.
+        Called with the kind and the fields of each event.
     clock : callable, optional
-        Steady time in seconds; the loop's by default. Where a host may be
-        suspended it must count that time too, or a leader that wakes would
-        still believe in its lease.
+        Monotonic time in seconds; that of the event loop by default. If the host
+        may be suspended, the clock must include the time spent suspended;
+        otherwise a leader that resumes would still rely on an expired lease.
     may_form : bool
-        Whether this voter may form a new group; False where its host was in
-        one before, whatever its disk says.
+        Whether this voter may form a new group. Must be False if its host was in
+        a group before, even if its disk is empty now.
     """
 
     def __init__(
@@ -124,85 +129,86 @@
         self._loop = asyncio.get_running_loop()
         self._now = clock or self._loop.time
         self._may_form = may_form and address in peers
-        # A restarted voter may have promised a leader its silence just
-        # before; it counts as having heard from one at its start.
-        self._heard = self._now()
-        self._current_at = float("-inf")
+        # Before a restart this voter may have answered a leader that now relies on
+        # its lease, so the start counts as contact with a leader.
+        self._leader_heard_at = self._now()
+        self._caught_up_at = float("-inf")
         self._leading = False
         self._leader = ""
         self._leader_address = ""
         self._commit = storage.snapshot.index
         self._applied = storage.snapshot.index
-        self._ready_index = 0
-        self._lead_term = 0
-        self._acked = {}
-        self._match = {}
+        self._term_start_index = 0
+        self._leader_term = 0
+        self._acked_at = {}
+        self._match_indexes = {}
         self._learners = {}
-        self._waiting = {}
+        self._pending_results = {}
         self._proposals = []
         self._write_lock = asyncio.Lock()
-        self._kicks = {}
-        self._granted = set()
-        self._last_heard = self._heard
-        self._led_since = self._heard
-        self._writing_since = None
-        self._wake = Signal(loop=self._loop)
+        self._replication_signals = {}
+        self._granted_by = set()
+        self._latest_leader_contact = self._leader_heard_at
+        self._leader_since = self._leader_heard_at
+        self._write_started_at = None
+        self._proposals_ready = Signal(loop=self._loop)
         self._step_down = Signal(loop=self._loop)
-        self._asked_to_lead = Signal(loop=self._loop)
-        self._advanced = Signal(loop=self._loop)
+        self._takeover_requested = Signal(loop=self._loop)
+        self._applied_changed = Signal(loop=self._loop)
         if storage.snapshot.index:
             machine.load(storage.snapshot.index, storage.snapshot.data)
-        self._voters = self._voters_in_log()
+        self._voters = self._latest_voters()
 
     @property
-    def votes(self):
-        """Whether this voter is one of its group as far as it knows."""
+    def is_voter(self):
+        """Whether this host votes, according to its own log."""
         return self.voter in self._voters
 
     @property
-    def leader_age(self):
-        """Seconds since a leader was heard; 0 for one that leads."""
+    def leader_silence(self):
+        """Seconds since a leader was last heard; 0 on a leader with a lease."""
         if self._leading:
             return 0.0 if self.has_lease() else float("inf")
-        return self._now() - self._heard if self._leader else float("inf")
+        return self._now() - self._leader_heard_at if self._leader else float("inf")
 
     @property
-    def knowledge_age(self):
-        """Seconds since all that its leader had committed was applied here.
+    def state_age(self):
+        """Seconds since this voter had applied everything its leader had committed.
 
         Notes
         -----
-        Hearing the leader is not enough: a voter whose disk hangs, or that was
-        away, hears it all the time and knows nothing of what is committed.
+        Recent contact with the leader does not show that the state is current: a
+        voter whose disk hangs, or that was disconnected, receives heartbeats
+        but has not applied what is committed.
         """
         if self._leading:
-            # A new leader learns what its predecessor has committed when its own
-            # first entry is.
-            ready = self._applied >= self._ready_index
-            return self.leader_age if ready else float("inf")
-        return max(self.leader_age, self._now() - self._current_at)
+            # A new leader knows what its predecessor had committed only after the
+            # first entry of its own term is committed.
+            ready = self._applied >= self._term_start_index
+            return self.leader_silence if ready else float("inf")
+        return max(self.leader_silence, self._now() - self._caught_up_at)
 
     @property
-    def unheard(self):
-        """Seconds since each other voter answered this leader, by voter.
+    def silence_by_voter(self):
+        """Seconds since each other voter last answered this leader, by voter.
 
-        A voter that never did counts from the election.
+        For a voter that has never answered, the time since the election.
         """
         now = self._now()
         return {
-            voter: now - self._acked.get(voter, self._led_since)
+            voter: now - self._acked_at.get(voter, self._leader_since)
             for voter in self._voters
             if voter != self.voter
         }
 
     @property
     def voter(self):
-        """Identity of this voter's disk."""
+        """Identity of this voter, stored on its disk."""
         return self._storage.meta.voter
 
     @property
     def voters(self):
-        """Voters in force, disk to peer address."""
+        """Current voters, mapped to their peer addresses."""
         return dict(self._voters)
 
     @property
@@ -212,82 +218,92 @@
 
     @property
     def leader_address(self):
-        """Peer address of the leader as far as known, or an empty string.
+        """Peer address of the last known leader, or an empty string.
 
-        One that was not heard for long is no hint any more: whoever followed
-        it would not look for its successor.
+        Empty also if that leader has been silent for too long, so that clients
+        look for its successor instead of being redirected to it.
         """
-        if self.leader_age > HINT_SECONDS:
+        if self.leader_silence > LEADER_HINT_SECONDS:
             return ""
         return self._leader_address
 
     @property
     def applied(self):
-        """Index of the last entry that was applied."""
+        """Index of the last applied entry."""
         return self._applied
 
     @property
     def is_leader(self):
-        """Whether this voter leads and has applied all that came before."""
-        return self._leading and self._applied >= self._ready_index and self.has_lease()
+        """Whether this voter leads, has a lease and has applied all earlier entries."""
+        return (
+            self._leading
+            and self._applied >= self._term_start_index
+            and self.has_lease()
+        )
 
     @property
     def predecessor_end(self):
-        """Time by which every earlier leader had stopped acting.
+        """Time by which every earlier leader has stopped acting.
 
         Notes
         -----
-        An earlier leader acts only for `lease` seconds after a majority heard
-        it. That majority shares a voter with the one that elected this
-        leader, and each of those told how long ago it last heard one.
+        A leader acts for at most `lease` seconds after a majority last heard it.
+        That majority shares at least one voter with the majority that elected
+        this leader, and every voter reports with its vote how long ago it last
+        heard a leader.
         """
-        return self._last_heard + self._timing.lease * (1 + DRIFT)
+        return self._latest_leader_contact + self._timing.lease * (1 + MAX_CLOCK_DRIFT)
 
     def has_lease(self):
-        """Whether no other voter can have been elected by now.
+        """Whether this voter leads and no other voter can have been elected yet.
 
         Notes
         -----
-        A majority has answered messages sent within the last `lease` seconds,
-        and promised to ignore candidates for `election_min` since. A process
-        that was paused finds its own clock advanced and says no.
+        True if a majority answered messages that were sent within the last `lease`
+        seconds: those voters ignore candidates for `election_min` after each of
+        them. After a pause of the process the clock has advanced, so the lease
+        has expired.
         """
         if not self._leading:
             return False
         now = self._now()
-        times = [
-            now if v == self.voter else self._acked.get(v, -1e9) for v in self._voters
+        contact_times = [
+            now if v == self.voter else self._acked_at.get(v, -1e9)
+            for v in self._voters
         ]
-        times.sort(reverse=True)
-        return now - times[len(self._voters) // 2] < self._timing.lease
+        contact_times.sort(reverse=True)
+        return now - contact_times[len(self._voters) // 2] < self._timing.lease
 
     async def wait_applied(self, index, timeout):
-        """Wait until an entry after `index` is applied, or `timeout` seconds."""
+        """Wait until an entry after `index` is applied, at most `timeout` seconds."""
         if self._applied > index:
             return
-        await self._advanced.wait_until(self._loop.time() + timeout)
+        await self._applied_changed.wait_until(self._loop.time() + timeout)
 
-    # The log on the disk
+    # Stored state
 
-    def _voters_in_log(self):
+    def _latest_voters(self):
+        """Return the voters of the last voter change, committed or not."""
         for entry in reversed(self._storage.entries):
             if entry.kind == VOTERS:
                 return msgspec.msgpack.decode(entry.data, type=dict[str, str])
         return self._storage.snapshot.voters or self._storage.meta.voters
 
-    async def _new_term(self, term):
+    async def _enter_term(self, term):
+        """Store a newer term and step down if this voter leads."""
         await self._save_meta(term=term, voted_for="")
         self._leader = self._leader_address = ""
         if self._leading:
             self._step_down.set()
 
     async def _append_to_log(self, entries):
-        self._writing_since = self._now()
+        """Write entries to the disk, then add them to those in memory."""
+        self._write_started_at = self._now()
         try:
             await self._offload(self._storage.write, entries)
         finally:
-            self._writing_since = None
-        self._storage.take(entries)
+            self._write_started_at = None
+        self._storage.cache_entries(entries)
 
     async def _save_meta(self, **changes):
         def save():
@@ -299,13 +315,14 @@
         timeout = timeout or self._timing.call
         return await self._transport.call(address, request, timeout=timeout)
 
-    # Committing and applying
+    # Committing and applying entries
 
     def _set_commit(self, index):
+        """Raise the commit index and apply all entries up to it."""
         self._commit = max(self._commit, index)
         if self._applied >= self._commit:
-            # Heartbeats say it again and again; whoever waits for news would
-            # be woken by each.
+            # Heartbeats repeat the commit index; without this check each one would
+            # wake every waiting watcher.
             return
         while self._applied < self._commit:
             entry = self._storage.slice(self._applied + 1, 1)[0]
@@ -313,19 +330,20 @@
             if entry.kind == COMMAND and entry.data:
                 result = self._machine.apply(entry.index, entry.data)
             self._applied = entry.index
-            future = self._waiting.pop(entry.index, None)
+            future = self._pending_results.pop(entry.index, None)
             if future is not None and not future.done():
                 future.set_result(result)
-        self._notify()
+        self._notify_applied()
         self._compact()
 
-    def _notify(self):
-        self._advanced.set()
-        self._advanced = Signal(loop=self._loop)
+    def _notify_applied(self):
+        self._applied_changed.set()
+        self._applied_changed = Signal(loop=self._loop)
 
     def _compact(self):
+        """Take a snapshot once enough entries were applied since the last one."""
         storage = self._storage
-        if self._applied - storage.snapshot.index < SNAPSHOT_EVERY:
+        if self._applied - storage.snapshot.index < ENTRIES_PER_SNAPSHOT:
             return
         if self._write_lock.locked():
             return
--- a/guavastream/control/watching.py
+++ b/guavastream/control/watching.py
@@ -1,26 +1,26 @@
-"""What a control host tells those that follow its table."""
+"""Watches of the replicated table, answered by any control host."""
 
 import math
 
 from guavastream.leases.messages import Watch, Watched
 from guavastream.messages import PartShelf, ReadPart
 
-__all__ = ["WATCH_MESSAGES", "WatchDesk"]
+__all__ = ["WATCH_MESSAGES", "WatchService"]
 
 WATCH_MESSAGES = (Watch, ReadPart)
-# A watch does not go on for less than this, seconds.
-SHORTEST_WAIT = 0.001
+# A watch with less time left than this is answered at once.
+MIN_WAIT_SECONDS = 0.001
 
 
-class WatchDesk:
-    """Answers watches of the table, and reads of what follows a long answer.
+class WatchService:
+    """Answers watches of the table and reads of the further parts of long answers.
 
     Parameters
     ----------
     raft : Raft
-        This voter; says when something was applied.
+        This voter; signals when an entry was applied.
     machine : TableMachine
-        Its table.
+        The state machine that holds the table.
     clock : callable
         Monotonic time in seconds.
     """
@@ -29,46 +29,49 @@
         self._raft = raft
         self._machine = machine
         self._clock = clock
-        self._shelf = PartShelf(clock=clock)
+        self._parts = PartShelf(clock=clock)
 
-    async def answer(self, request, *, hosts=lambda: (), fresh_for=lambda: math.inf):
+    async def answer(
+        self, request, *, hosts=lambda: (), staleness_delay=lambda: math.inf
+    ):
         """Answer one of the WATCH_MESSAGES.
 
         Parameters
         ----------
         request : Watch or ReadPart
-            What was asked.
+            The request.
         hosts : callable
-            Called before and after waiting: the peer addresses that go with the
-            answer. What it raises is the answer.
-        fresh_for : callable
-            Seconds after which `hosts` will raise, unless something is heard.
+            Returns the peer addresses to send with the answer. Called before each
+            wait and before answering; an error that it raises ends the watch.
+        staleness_delay : callable
+            Returns the seconds after which `hosts` will raise unless the state is
+            refreshed.
         """
         if isinstance(request, ReadPart):
-            return self._shelf.read(request)
-        known = await self._wait(request, hosts, fresh_for)
+            return self._parts.read(request)
+        known = await self._wait(request, hosts, staleness_delay)
         table, commands = self._machine.news(request.index)
-        return self.cut(Watched(table=table, commands=commands, hosts=known))
+        return self.split_answer(Watched(table=table, commands=commands, hosts=known))
 
-    async def _wait(self, request, hosts, fresh_for):
-        """Wait for news as long as is asked, and return the hosts to tell of.
+    async def _wait(self, request, hosts, staleness_delay):
+        """Wait for a change of the table, at most as long as requested.
 
-        Whoever waits at a control host that has lost its leader is told so at
-        once: news may wait for it elsewhere, and the time in which a change is
-        to be in force runs.
+        Returns the addresses from `hosts`. If this control host loses its leader
+        the wait ends with an error as soon as `hosts` raises one, so that the
+        watcher turns to a host that may have a change that must soon be in force.
         """
         end = self._clock() + request.wait
         while True:
             known = hosts()
-            # Not all that is applied changes the table: a new leader says only
-            # that it leads.
+            # Not every applied entry changes the table; the first entry of a new
+            # leader is empty.
             applied = self._raft.applied
             index = self._machine.table.index
-            left = end - self._clock()
-            if index > request.index or left < SHORTEST_WAIT:
+            remaining = end - self._clock()
+            if index > request.index or remaining < MIN_WAIT_SECONDS:
                 return known
-            await self._raft.wait_applied(applied, min(left, fresh_for()))
+            await self._raft.wait_applied(applied, min(remaining, staleness_delay()))
 
-    def cut(self, answer):
-        """Return an answer of any length as it is sent."""
-        return self._shelf.cut(answer)
+    def split_answer(self, answer):
+        """Return an answer as sent: a large one is compressed and read in parts."""
+        return self._parts.cut(answer)
--- a/guavastream/hosts/control_host.py
+++ b/guavastream/hosts/control_host.py
@@ -169,7 +169,7 @@
 
     async def drain(self):
         """Let another control host lead, so that nobody waits for an election."""
-        await self._raft.hand_over()
+        await self._raft.transfer_leadership()
         await asyncio.sleep(HINT_SECONDS)
 
     async def stop(self):
--- a/guavastream/hosts/tests/test_pace.py
+++ b/guavastream/hosts/tests/test_pace.py
@@ -11,7 +11,7 @@
 import asyncio
 
 from guavastream.control.machine import TableMachine
-from guavastream.control.watching import WatchDesk
+from guavastream.control.watching import WatchService
 from guavastream.emulator import FakeNetwork, run_paused
 from guavastream.fleet import BookCodec, JoinInstance, LeaveInstance, encode_command
 from guavastream.hosts.book_follower import ANSWERS_PER_SECOND, BookFollower
@@ -65,7 +65,7 @@
     machine = TableMachine(codec=BookCodec())
     log = Log(machine)
     clock = asyncio.get_running_loop().time
-    desk = WatchDesk(raft=log, machine=machine, clock=clock)
+    desk = WatchService(raft=log, machine=machine, clock=clock)
     for address in CONTROL_HOSTS:
         network.serve(address, desk.answer)
     for number in range(hosts):
