--- a/guavastream/experiment/model.py
+++ b/guavastream/experiment/model.py
@@ -16,7 +16,7 @@
 from guavastream.fleet import KEYS, Instance, Run, cut_runs, find_run
 from guavastream.kernel import Policy, Signal, TimeLimit, replace
 from guavastream.placement import RunView, plan_runs
-from guavastream.relay import Gate, NotRun, Picker, Report, RetryShare
+from guavastream.relay import AdmissionQueue, NotRun, Picker, Report, RetryBudget
 from guavastream.relay.ingress import (
     LEAST_SECONDS,
     MOST_REFUSALS,
@@ -27,7 +27,7 @@
 )
 from guavastream.relay.job import LAST_HOP_SECONDS
 from guavastream.relay.outcome import VERDICTS
-from guavastream.relay.returns import Returns
+from guavastream.relay.returns import RetryTracker
 from guavastream.relay.servers import ServerLists
 
 __all__ = ["Counts", "Model", "Tally"]
@@ -89,7 +89,7 @@
     zone: str
     picker: Picker
     lists: ServerLists
-    returns: Returns
+    returns: RetryTracker
     here: str = ""
     shares: dict = field(default_factory=dict)
 
@@ -100,7 +100,7 @@
 
     instance: Instance
     host: _Host
-    gate: Gate
+    gate: AdmissionQueue
     speed: float
     factor: float = 1.0
     shed: float = 0.0
@@ -187,7 +187,7 @@
                 clock=self._clock, rng=self._rng, zone=zone, policy=self._policy
             ),
             lists=ServerLists(host=id, zone=zone, sampled=self._policy.sampled),
-            returns=Returns(),
+            returns=RetryTracker(),
             here=id,
         )
         instance = Instance(
@@ -199,7 +199,7 @@
             zone=zone,
             slots=service.slots,
         )
-        gate = Gate(loop=self._loop, slots=service.slots, policy=self._policy)
+        gate = AdmissionQueue(loop=self._loop, slots=service.slots, policy=self._policy)
         server = _Server(
             instance=instance, host=host, gate=gate, speed=service.speed(number)
         )
@@ -303,7 +303,9 @@
         what = (kind.name, key)
         known = started
         if self._policy.returns:
-            known = host.returns.take(what, gives_up=started + left, now=started)
+            known = host.returns.pop_first_asked(
+                what, gives_up=started + left, now=started
+            )
         deadline = started + min(left, kind.timeout) - LAST_HOP_SECONDS
         request = _Request(
             kind=kind,
@@ -336,7 +338,7 @@
         kind = request.kind
         share = request.host.shares.get(kind.service)
         if share is None:
-            share = request.host.shares[kind.service] = RetryShare(ratio=RETRY_RATIO)
+            share = request.host.shares[kind.service] = RetryBudget(ratio=RETRY_RATIO)
         share.earn()
         tried, arrivals, refusals = set(), 0, 0
         patience = OWNER_PATIENCE * self._policy.owner_wait
@@ -397,7 +399,7 @@
         here = request.host.here
         choices = request.host.lists.of(self._instances, kind.service)
         chosen = picker.choose(
-            picker.draw(choices, tried, here=here),
+            picker.candidates(choices, tried, here=here),
             kind=kind.name,
             target=kind.target,
             here=here,
@@ -438,7 +440,7 @@
             waiting=gate.waiting,
             slots=gate.slots,
             seconds=gate.seconds,
-            of_kind=gate.measured(request.kind.name),
+            of_kind=gate.mean_seconds_for(request.kind.name),
         )
         await asyncio.sleep(delay)
         picker.note_report(server.instance, report, kind=request.kind.name)
--- a/guavastream/relay/__init__.py
+++ b/guavastream/relay/__init__.py
@@ -1,4 +1,4 @@
-"""The data path: callers to the owner's host, and on to the server beside it."""
+"""The data path: carries requests to the host of the owner and to its server."""
 
 from guavastream.relay.admission import *
 from guavastream.relay.budget import *
--- a/guavastream/relay/admission.py
+++ b/guavastream/relay/admission.py
@@ -1,8 +1,8 @@
-"""Who may go to the local server next, who waits, and who is refused at once.
+"""Admission control for the local server: a bounded priority queue before its slots.
 
-It answers more requests than a server has slots for: bursts, a slow server,
-callers that repeat. Requests wait here and not at the server, because here
-they can be ordered, counted, and refused while that still helps the caller.
+Protects a server that receives more requests than it has slots for, because of
+bursts, a slow server or retries. Requests wait here instead of at the server, so
+that they can be ordered, counted, and refused early enough for the caller to react.
 """
 
 import asyncio
@@ -12,105 +12,117 @@
 
 from guavastream.kernel import Policy, TimeLimit
 from guavastream.relay.outcome import NotRun
-from guavastream.relay.shares import Shares
-
-__all__ = ["Gate"]
-
-# Weight of the newest request in the smoothed time of its kind.
-SMOOTHING = 0.1
-# Time assumed of a request before any was measured, seconds.
-USUAL_SECONDS = 0.1
-# Times of requests of one kind vary by about a third, and waits do too; a
-# request waits only if it would be in time even if it took this much longer
-# than usual. Where a request takes nearly all of its time, that share of what
-# is left is kept. A queue that empties now and then absorbs a burst, and may
-# be long; one that stands makes all wait for nothing, and is kept short. Over
-# six simulated overloads of two services, one calling the other, this serves
-# 0.72 of what callers asked for, the long queue alone 0.68.
-SPARED = 0.8
-SPARED_OF_REST = 0.5
-SPARED_STANDING = 2.0
-SPARED_OF_REST_STANDING = 0.8
-# A queue stands if it was never empty for this long, seconds.
+from guavastream.relay.shares import FairShares
+
+__all__ = ["AdmissionQueue"]
+
+# Weight of the newest sample in the moving averages of request times.
+SAMPLE_WEIGHT = 0.1
+# Estimated time of a request while there are no samples.
+DEFAULT_SECONDS = 0.1
+# Time reserve that a request needs in order to be queued: the first factor times its
+# estimated time, but at most the second factor times the time left until it has to
+# start. Request times of one kind vary by about a third, and so do waiting times. A
+# queue that empties now and then absorbs bursts and may be long. A standing queue
+# only adds latency, so it is kept short by a larger reserve. In six simulated
+# overloads of two services, one of which calls the other, this serves 0.72 of all
+# requests; with the smaller reserve alone, 0.68 are served.
+RESERVE_FACTOR = 0.8
+MAX_RESERVE_SHARE = 0.5
+STANDING_RESERVE_FACTOR = 2.0
+STANDING_MAX_RESERVE_SHARE = 0.8
+# A queue counts as standing if it has not been empty for this long.
 STANDING_SECONDS = 0.5
-# A request in the queue is not overtaken if that leaves it less than this of
-# its usual time to spare: it was let in on a promise.
-KEPT = 0.3
-# A request that cannot be in time any more waits behind all that can, and no
-# longer than this share of the time it has left: a burst passes, a queue that
-# stands does not.
-LATE_SHARE = 0.12
-LATE_SHARE_STANDING = 0.05
-# Of a request's usual time at least this must be left before its deadline
-# when its turn comes, or its work would be cut off.
-LEAST_LEFT = 0.7
-# A request whose turn comes later than it could start to be in time, by more
-# than this of its usual time, gives way to those behind it.
-GRACE = 0.3
-# Advice to come back, seconds: soon where it can still be in time then, since
-# it goes before new requests. Else after this share of the time it has left:
-# callers come back only once or twice, and spend that for nothing on a load
-# that lasts a second. They wait no longer than a third, whatever is said.
-SHORTEST_RETRY = 0.05
-LONGEST_RETRY = 0.15
+# A queued request may be overtaken only if that leaves it a slack of at least this
+# factor times its estimated time. It was admitted because it could be on time.
+MIN_SLACK_FACTOR = 0.3
+# A request that can't meet its target any more is queued behind all that can, for at
+# most this share of the time until its deadline. A burst is over by then; a standing
+# queue is not, so there the share is smaller.
+MAX_LATE_WAIT_SHARE = 0.12
+STANDING_MAX_LATE_WAIT_SHARE = 0.05
+# Share of a request's estimated time that must be left before its deadline when it
+# gets a slot; with less, it would be cut off while it runs.
+MIN_TIME_LEFT_SHARE = 0.7
+# A request that gets its turn too late to meet its target, by more than this factor
+# times its estimated time, is refused in favour of the requests behind it.
+LATE_START_FACTOR = 0.3
+# Bounds of the Retry-After advice for requests that can still meet their target on a
+# retry, which goes ahead of new requests. Others are told `LATE_RETRY_SHARE` of the
+# time until their deadline: callers retry only once or twice, and quick retries would
+# be wasted on an overload that lasts a second. Callers wait for at most a third of
+# their remaining time, whatever they are told.
+MIN_RETRY_SECONDS = 0.05
+MAX_RETRY_SECONDS = 0.15
 LATE_RETRY_SHARE = 0.3
-# Bounds of the factor between expected and real waits, and the weight of the
-# newest wait in it. More urgent requests that come later overtake, which no
-# count of those ahead foresees. A wait is known only when it is over: with a
-# weight of 0.1 the factor swung between its bounds twice a second under
-# overload, and the queue with it.
-LEAST_FACTOR = 0.7
-MOST_FACTOR = 3.0
-FACTOR_WEIGHT = 0.02
-# Waits below this say nothing about the factor, seconds.
-GRAIN_SECONDS = 0.005
-# Answers are given this long before a deadline, so that they arrive.
-LAST_SECONDS = 0.03
+# Bounds of the ratio of actual to predicted waits, and the weight of the newest wait
+# in it. The prediction misses more urgent requests that arrive later and overtake.
+# Since a wait is known only when it is over, a weight of 0.1 made the ratio oscillate
+# between its bounds twice a second under overload, and the queue length with it.
+MIN_WAIT_RATIO = 0.7
+MAX_WAIT_RATIO = 3.0
+WAIT_RATIO_WEIGHT = 0.02
+# Lower bound of predicted waits in the ratio; shorter ones say nothing about it.
+MIN_WAIT_SECONDS = 0.005
+# Requests stop waiting this long before their deadline, so that the answer arrives.
+ANSWER_MARGIN_SECONDS = 0.03
 
 
 @dataclass(kw_only=True, slots=True, eq=False)
 class _Waiter:
-    """A request in the queue; `order` sorts it, times are the clock's.
+    """A queued request.
 
-    `in_time` is the latest start for an answer in time, `latest` the latest
-    start of all. For a request that is late when it comes, `in_time` bounds its
-    wait; for a call both are the same.
+    Parameters
+    ----------
+    order : tuple
+        Sort key of the queue: whether it is late, rank, target time, sequence number.
+    future : asyncio.Future
+        Done when the request gets a slot or is refused.
+    estimate : float
+        Estimated time at the server, in seconds.
+    start_by : float
+        Latest start, in loop time, at which it meets its target. For a request that
+        is late on arrival, the end of its longest wait; for a call, `latest_start`.
+    latest_start : float
+        Latest start, in loop time, at which it may still run.
+    deadline : float
+        Loop time after which the answer is worthless.
     """
 
     order: tuple
     future: asyncio.Future
-    usual: float
-    in_time: float
-    latest: float
+    estimate: float
+    start_by: float
+    latest_start: float
     deadline: float
 
     def retry_after(self, now, soon):
-        """Return when to come back: `soon`, or later if that is late anyway."""
+        """Return `soon` if a retry can meet the target then, else a longer delay."""
         late, _, wanted_by, _ = self.order
-        if not late and now + soon + self.usual <= wanted_by:
+        if not late and now + soon + self.estimate <= wanted_by:
             return soon
         return max(soon, LATE_RETRY_SHARE * (self.deadline - now))
 
 
-class Gate:
-    """Slots of the local server and the queue before them.
+class AdmissionQueue:
+    """Slots of the local server and the queue of requests that wait for one.
 
     Parameters
     ----------
     loop : asyncio.AbstractEventLoop
-        The running loop; its time is the clock.
+        The running loop, whose time is used as the clock.
     slots : int
-        Requests that the server runs at a time.
+        Number of requests that the server runs concurrently.
     policy : Policy, optional
         Mechanisms that are in force.
 
     Notes
     -----
-    A request is admitted to the queue only if it would be in time, and if all
-    that wait behind it still are: the queue is as long as it is useful,
-    whatever the load. It is ordered by rank, then by the time until which an
-    answer has its full worth; a request that came back after a refusal thus
-    goes first, as long as it can be in time at all.
+    A request is queued only if it is expected to meet its target, and if all requests
+    that it would overtake can still meet theirs. This bounds the length of the queue
+    under any load. The queue is ordered by rank, then by the time until which an answer
+    has its full value. A retry of a refused request therefore goes first, as long as
+    it can still be on time.
 
     References
     ----------
@@ -123,48 +135,55 @@
         self._clock = loop.time
         self._policy = policy or Policy()
         self._queue = []
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self._running = 0
+        # Sum of the estimated times of the running requests.
         self._running_seconds = 0.0
-        self._seconds = {}
+        # Moving average of the request time by kind, and of all requests.
+        self._kind_means = {}
         self._mean = 0.0
+        # Moving averages of actual and predicted waits, by kind.
         self._waits = {}
-        self._empty_at = self._heard_at = float("-inf")
-        self._shares = Shares(clock=self._clock)
+        # When the queue was last empty, and when the server last answered.
+        self._empty_at = self._answered_at = float("-inf")
+        self._shares = FairShares(clock=self._clock)
         self.slots = slots
 
     @property
     def running(self):
-        """Requests at the server."""
+        """Number of requests at the server."""
         return self._running
 
     @property
     def waiting(self):
-        """Requests in the queue."""
+        """Number of requests in the queue."""
         return len(self._queue)
 
     @property
     def seconds(self):
-        """Smoothed time of all requests at the server, 0 if unknown.
+        """Moving average of the time of all requests at the server, 0 if unknown.
 
-        No less than for how long the server has answered nothing.
+        At least the time for which the server has not answered any request.
         """
         return max(self._mean, self._silence()) if self._mean else 0.0
 
-    def measured(self, kind):
-        """Return the smoothed time of requests of a kind, 0 if unknown."""
-        seconds = self._seconds.get(kind, 0.0)
+    def mean_seconds_for(self, kind):
+        """Return the moving average of the time of a kind of request, 0 if unknown.
+
+        At least the time for which the server has not answered any request.
+        """
+        seconds = self._kind_means.get(kind, 0.0)
         return max(seconds, self._silence()) if seconds else 0.0
 
     def usual(self, kind):
-        """Return the smoothed time of requests of a kind, seconds."""
-        return self._seconds.get(kind) or self._mean or USUAL_SECONDS
+        """Return the estimated time of a kind of request, in seconds."""
+        return self._kind_means.get(kind) or self._mean or DEFAULT_SECONDS
 
     def _silence(self):
-        """Return for how long the server has answered nothing, seconds."""
+        """Return the seconds for which a busy server has not answered any request."""
         if not self._running or not self._policy.silence:
             return 0.0
-        return self._clock() - self._heard_at
+        return self._clock() - self._answered_at
 
     async def enter(
         self,
@@ -179,234 +198,259 @@
         again=False,
         last=True,
     ):
-        """Wait for a slot; return what `leave` needs.
+        """Wait for a slot and return the estimated time to pass to `leave`.
 
         Parameters
         ----------
         rank : int
-            The lowest is the most urgent.
+            Priority; the lowest rank is the most urgent.
         kind : str
-            Requests of one kind take about the same time.
-        wanted_by, deadline : float
-            The clock's times by which an answer is worth all and nothing.
+            Groups requests that take about the same time.
+        wanted_by : float
+            Loop time until which an answer has its full value (the target).
+        deadline : float
+            Loop time after which an answer is worthless.
         call : bool
-            Whether a server waits for the answer. Refusing it wastes the work
-            that was done for it, so that it is let in as long as it can run.
+            Whether another server waits for the answer. Refusing such a request
+            wastes the work done so far, so it is admitted as long as it can run.
         id : bytes, optional
-            Names the request; for a call, the request that it is for.
+            Request ID; for a call, the ID of the request that it is part of.
         urgency : int, optional
-            Rank of the request that callers sent, `rank` by default.
+            Rank of the original request of the caller, `rank` by default.
         again : bool
-            Whether its caller has come back after a refusal.
+            Whether this is a retry after a refusal.
         last : bool
-            Whether its caller is told if it is refused here; else it is tried at
-            another server.
+            Whether a refusal is returned to the caller; if not, the request is then
+            sent to another server.
 
         Raises
         ------
         NotRun
             If there will be no slot in time.
         """
-        usual = self.usual(kind)
-        room = self._running < self.slots and not self._queue
+        estimate = self.usual(kind)
+        has_slot = self._running < self.slots and not self._queue
         admitted = self._shares.admits(
             kind,
             id,
             urgency=rank if urgency is None else urgency,
             again=again,
-            room=room,
+            has_slot=has_slot,
             last=last,
         )
-        if room:
+        if has_slot:
             if not self._running:
-                self._heard_at = self._clock()
+                self._answered_at = self._clock()
             self._running += 1
         else:
             now = self._clock()
             if not self._queue:
                 self._empty_at = now
-            waiter = self._waiter(rank, usual, wanted_by, deadline, call, now)
+            waiter = self._waiter(rank, estimate, wanted_by, deadline, call, now)
             if not admitted and self._policy.shares:
-                self._refuse_for_others(waiter, kind, now)
-            raw = self._check(waiter, kind, now, call)
+                self._refuse_over_share(waiter, kind, now)
+            predicted = self._check_on_time(waiter, kind, now, call)
             insort(self._queue, waiter, key=_order)
             try:
                 await self._wait(waiter, now)
             finally:
-                self._note_wait(kind, raw, self._clock() - now)
-        self._running_seconds += usual
+                self._note_wait(kind, predicted, self._clock() - now)
+        self._running_seconds += estimate
         self._shares.note_admitted(kind, id, again=again)
-        return usual
+        return estimate
 
-    def _refuse_for_others(self, waiter, kind, now):
-        """Refuse a request whose kind has more than its share already."""
-        reasons = {"share": round(self._shares.level(kind), 2)}
-        retry_after = waiter.retry_after(now, LONGEST_RETRY)
+    def _refuse_over_share(self, waiter, kind, now):
+        """Refuse a request of a kind that already exceeds its fair share."""
+        reasons = {"share": round(self._shares.admitted_fraction(kind), 2)}
+        retry_after = waiter.retry_after(now, MAX_RETRY_SECONDS)
         raise NotRun("overloaded", retry_after=retry_after, reasons=reasons)
 
-    def _waiter(self, rank, usual, wanted_by, deadline, call, now):
-        latest = deadline - max(LAST_SECONDS, usual * LEAST_LEFT)
-        rest = wanted_by - now - usual
-        late = rest <= 0 and not call and self._policy.late_last
+    def _waiter(self, rank, estimate, wanted_by, deadline, call, now):
+        """Return the queue entry of a request with its latest start times."""
+        latest_start = deadline - max(
+            ANSWER_MARGIN_SECONDS, estimate * MIN_TIME_LEFT_SHARE
+        )
+        slack = wanted_by - now - estimate
+        late = slack <= 0 and not call and self._policy.late_last
         if call:
-            in_time = latest
+            start_by = latest_start
         elif late:
-            share = LATE_SHARE_STANDING if self._stands(now) else LATE_SHARE
+            share = (
+                STANDING_MAX_LATE_WAIT_SHARE
+                if self._is_standing(now)
+                else MAX_LATE_WAIT_SHARE
+            )
             share *= self._policy.late_wait
-            in_time = min(latest, now + share * (deadline - now))
+            start_by = min(latest_start, now + share * (deadline - now))
         else:
-            in_time = wanted_by - usual
+            start_by = wanted_by - estimate
         return _Waiter(
-            order=(late, rank, wanted_by, next(self._numbers)),
+            order=(late, rank, wanted_by, next(self._sequence)),
             future=self._loop.create_future(),
-            usual=usual,
-            in_time=in_time,
-            latest=latest,
+            estimate=estimate,
+            start_by=start_by,
+            latest_start=latest_start,
             deadline=deadline,
         )
 
-    def _check(self, waiter, kind, now, call):
-        """Return the expected wait before its factor, or refuse.
+    def _check_on_time(self, waiter, kind, now, call):
+        """Return the predicted wait before its correction, or refuse the request.
 
         Raises
         ------
         NotRun
-            If the request or one behind it would not be in time.
+            If this request, or one that it would overtake, would be too late.
         """
-        place = bisect_left(self._queue, waiter.order, key=_order)
+        position = bisect_left(self._queue, waiter.order, key=_order)
         mean = ahead = self._running_seconds / max(1, self._running)
-        ahead += sum(other.usual for other in self._queue[:place])
-        raw = ahead / self.slots
-        # A server that froze or went dark frees no slot, and has long been
-        # silent when that shows; as long again is the best guess.
-        wait = self._factor(kind) * raw + max(0.0, self._silence() - mean)
-        spare = 0.0 if call else self._spare(waiter, now)
+        ahead += sum(other.estimate for other in self._queue[:position])
+        predicted = ahead / self.slots
+        # An unresponsive server frees no slot. It is expected to stay unresponsive
+        # for as long again as it has been so far.
+        wait = self._wait_ratio(kind) * predicted + max(0.0, self._silence() - mean)
+        spare = 0.0 if call else self._reserve(waiter, now)
         if not self._policy.refusal:
-            return raw
-        fits = now + wait + spare <= waiter.in_time
-        if not fits or not (call or self._keeps_promises(waiter, place, ahead, now)):
-            again = min(max(SHORTEST_RETRY, wait / 2), LONGEST_RETRY)
+            return predicted
+        fits = now + wait + spare <= waiter.start_by
+        if not fits or not (
+            call or self._leaves_others_on_time(waiter, position, ahead, now)
+        ):
+            soon = min(max(MIN_RETRY_SECONDS, wait / 2), MAX_RETRY_SECONDS)
             reasons = {
                 "fits": fits,
                 "late": waiter.order[0],
                 "wait_ms": int(1000 * wait),
-                "factor": round(self._factor(kind), 2),
+                "factor": round(self._wait_ratio(kind), 2),
                 "spare_ms": int(1000 * spare),
-                "usual_ms": int(1000 * waiter.usual),
-                "ahead": place,
+                "usual_ms": int(1000 * waiter.estimate),
+                "ahead": position,
                 "waiting": len(self._queue),
                 "running": self._running,
                 "to_target_ms": int(1000 * (waiter.order[2] - now)),
                 "to_deadline_ms": int(1000 * (waiter.deadline - now)),
-                "stands": self._stands(now),
+                "stands": self._is_standing(now),
                 "silent_ms": int(1000 * self._silence()),
             }
-            retry_after = waiter.retry_after(now, again)
+            retry_after = waiter.retry_after(now, soon)
             raise NotRun("overloaded", retry_after=retry_after, reasons=reasons)
-        return raw
+        return predicted
 
-    def _spare(self, waiter, now):
-        """Return the time that a request must have beyond the expected."""
+    def _reserve(self, waiter, now):
+        """Return the time reserve that a request needs beyond its predicted wait."""
         late = waiter.order[0]
         if late:
             return 0.0
-        rest = waiter.in_time - now
-        if self._stands(now):
-            spare = min(SPARED_STANDING * waiter.usual, SPARED_OF_REST_STANDING * rest)
+        left = waiter.start_by - now
+        if self._is_standing(now):
+            spare = min(
+                STANDING_RESERVE_FACTOR * waiter.estimate,
+                STANDING_MAX_RESERVE_SHARE * left,
+            )
         else:
-            spare = min(SPARED * waiter.usual, SPARED_OF_REST * rest)
+            spare = min(RESERVE_FACTOR * waiter.estimate, MAX_RESERVE_SHARE * left)
         return self._policy.spare * spare
 
-    def _stands(self, now):
+    def _is_standing(self, now):
+        """Whether the queue has not been empty for `STANDING_SECONDS`."""
         if not self._policy.standing:
             return False
         return now - self._empty_at >= STANDING_SECONDS
 
-    def _keeps_promises(self, waiter, place, ahead, now):
-        """Whether all that a request would overtake can still be in time."""
+    def _leaves_others_on_time(self, waiter, position, ahead, now):
+        """Whether all requests that this one would overtake can still be on time."""
         if not self._policy.promises:
             return True
-        ahead += waiter.usual
-        for other in self._queue[place:]:
+        ahead += waiter.estimate
+        for other in self._queue[position:]:
             if other.order[:2] != waiter.order[:2]:
                 return True
-            if now + ahead / self.slots + KEPT * other.usual > other.in_time:
+            if (
+                now + ahead / self.slots + MIN_SLACK_FACTOR * other.estimate
+                > other.start_by
+            ):
                 return False
-            ahead += other.usual
+            ahead += other.estimate
         return True
 
-    def _factor(self, kind):
-        real, expected = self._waits.get(kind, (1.0, 1.0))
-        return min(MOST_FACTOR, max(LEAST_FACTOR, real / expected))
+    def _wait_ratio(self, kind):
+        """Return the bounded ratio of actual to predicted waits of a kind."""
+        actual, predicted = self._waits.get(kind, (1.0, 1.0))
+        return min(MAX_WAIT_RATIO, max(MIN_WAIT_RATIO, actual / predicted))
 
-    def _note_wait(self, kind, expected, real):
-        before = self._waits.get(kind, (GRAIN_SECONDS, GRAIN_SECONDS))
+    def _note_wait(self, kind, predicted, actual):
+        """Update the moving averages of actual and predicted waits of a kind."""
+        before = self._waits.get(kind, (MIN_WAIT_SECONDS, MIN_WAIT_SECONDS))
         self._waits[kind] = (
-            before[0] + FACTOR_WEIGHT * (real - before[0]),
-            before[1] + FACTOR_WEIGHT * (max(expected, GRAIN_SECONDS) - before[1]),
+            before[0] + WAIT_RATIO_WEIGHT * (actual - before[0]),
+            before[1]
+            + WAIT_RATIO_WEIGHT * (max(predicted, MIN_WAIT_SECONDS) - before[1]),
         )
 
     async def _wait(self, waiter, now):
         future = waiter.future
         try:
-            with TimeLimit(loop=self._loop, when=max(now, waiter.latest)):
+            with TimeLimit(loop=self._loop, when=max(now, waiter.latest_start)):
                 await future
         except TimeoutError:
-            self._give_back(future)
-            raise NotRun("overloaded", retry_after=SHORTEST_RETRY) from None
+            self._return_unused_slot(future)
+            raise NotRun("overloaded", retry_after=MIN_RETRY_SECONDS) from None
         except asyncio.CancelledError:
-            self._give_back(future)
+            self._return_unused_slot(future)
             raise
         finally:
             if waiter in self._queue:
                 self._queue.remove(waiter)
 
-    def _give_back(self, future):
-        """Free the slot that came just when its request stopped waiting."""
+    def _return_unused_slot(self, future):
+        """Free a slot that was assigned just as its request stopped waiting."""
         if future.done() and not future.cancelled() and not future.exception():
-            self._free()
+            self._free_slot()
 
     def refuse_waiting(self):
-        """Refuse all that wait, as their callers can still go elsewhere."""
+        """Refuse all queued requests, whose callers can still use another server."""
         for waiter in self._queue:
             if not waiter.future.done():
-                refused = NotRun("leaving", retry_after=SHORTEST_RETRY)
+                refused = NotRun("leaving", retry_after=MIN_RETRY_SECONDS)
                 waiter.future.set_exception(refused)
 
-    def leave(self, usual, *, kind, seconds=None):
-        """Give a slot back.
+    def leave(self, estimate, *, kind, seconds=None):
+        """Free a slot.
 
         Parameters
         ----------
-        usual : float
-            What `enter` returned.
+        estimate : float
+            Return value of `enter`.
         kind : str
-            As given to `enter`.
+            Kind of request, as passed to `enter`.
         seconds : float, optional
-            How long the server took, if it ran the request to its end.
+            Time that the server took, if it ran the request to its end.
         """
-        self._running_seconds = max(0.0, self._running_seconds - usual)
+        self._running_seconds = max(0.0, self._running_seconds - estimate)
         if seconds is not None:
-            self._heard_at = self._clock()
-            before = self._seconds.get(kind, seconds)
-            self._seconds[kind] = before + SMOOTHING * (seconds - before)
+            self._answered_at = self._clock()
+            before = self._kind_means.get(kind, seconds)
+            self._kind_means[kind] = before + SAMPLE_WEIGHT * (seconds - before)
             self._mean = self._mean or seconds
-            self._mean += SMOOTHING * (seconds - self._mean)
-        self._free()
+            self._mean += SAMPLE_WEIGHT * (seconds - self._mean)
+        self._free_slot()
 
-    def _free(self):
+    def _free_slot(self):
+        """Free a slot and assign free slots to queued requests."""
         self._running -= 1
         now = self._clock()
         while self._queue and self._running < self.slots:
             waiter = self._queue.pop(0)
             if waiter.future.done():
                 continue
-            # Too late: it would be cut off in the middle of its work, or
-            # take the place of one that can still be in time.
-            yields = self._queue and now > waiter.in_time + GRACE * waiter.usual
-            if now > waiter.latest or yields:
-                again = waiter.retry_after(now, SHORTEST_RETRY)
-                waiter.future.set_exception(NotRun("overloaded", retry_after=again))
+            # Refuse a request that starts too late: it would be cut off while it
+            # runs, or take the slot of one that can still be on time.
+            gives_way = (
+                self._queue
+                and now > waiter.start_by + LATE_START_FACTOR * waiter.estimate
+            )
+            if now > waiter.latest_start or gives_way:
+                delay = waiter.retry_after(now, MIN_RETRY_SECONDS)
+                waiter.future.set_exception(NotRun("overloaded", retry_after=delay))
                 continue
             self._running += 1
             waiter.future.set_result(None)
--- a/guavastream/relay/budget.py
+++ b/guavastream/relay/budget.py
@@ -1,44 +1,43 @@
-"""Each host's share of the second tries that all hosts may make together."""
+"""Limits the retries of one host to its share of the budget of all hosts."""
 
-__all__ = ["RetryShare"]
+__all__ = ["RetryBudget"]
 
-# Share of its own requests that a host may send once more. The operators'
-# bound is for all hosts and for calls that repeated requests make again, so
-# a host keeps to half of it.
-KEPT_SHARE = 0.5
-# Tries that may be saved up, so that a quiet service can retry at all.
-SAVED = 3.0
+# Share of the configured retry ratio that one host uses. The operators' limit applies
+# to all hosts together and includes calls that are made again by retried requests.
+LOCAL_RATIO_SHARE = 0.5
+# Largest number of saved tokens; they let a service with little traffic retry at all.
+MAX_TOKENS = 3.0
 
 
-class RetryShare:
-    """Tokens earned by requests and spent by second tries, for one service.
+class RetryBudget:
+    """Token bucket of one service: requests earn tokens, retries spend them.
 
     Parameters
     ----------
     ratio : float
-        Second tries that all hosts may make for each request.
+        Retries per request that all hosts together may make.
 
     Examples
     --------
-    >>> share = RetryShare(ratio=0.2)
-    >>> [share.spend() for _ in range(4)]
+    >>> budget = RetryBudget(ratio=0.2)
+    >>> [budget.spend() for _ in range(4)]
     [True, True, True, False]
     >>> for _ in range(11):
-    ...     share.earn()
-    >>> share.spend()
+    ...     budget.earn()
+    >>> budget.spend()
     True
     """
 
     def __init__(self, *, ratio):
-        self._earned = ratio * KEPT_SHARE
-        self._tokens = SAVED
+        self._tokens_per_request = ratio * LOCAL_RATIO_SHARE
+        self._tokens = MAX_TOKENS
 
     def earn(self):
-        """Count a request."""
-        self._tokens = min(self._tokens + self._earned, SAVED)
+        """Add the tokens that one request earns."""
+        self._tokens = min(self._tokens + self._tokens_per_request, MAX_TOKENS)
 
     def spend(self):
-        """Take a token; return whether there was one."""
+        """Take one token; return whether there was one."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/guavastream/relay/fingerprint.py
+++ b/guavastream/relay/fingerprint.py
@@ -1,38 +1,44 @@
-"""Which requests are the same one again, whatever ids they come under."""
+"""Fingerprints of requests that stay the same when a request is sent again."""
 
 from hashlib import blake2b
 
-__all__ = ["FINGERPRINT_BYTES", "body_print", "fingerprint", "head_print"]
+__all__ = [
+    "FINGERPRINT_BYTES",
+    "body_fingerprint",
+    "fingerprint",
+    "head_fingerprint",
+]
 
-# Bytes of a body that count. Each host on the way has read this much before it
-# sends anything on, so that all come to the same result for a body that streams.
-BODY_BYTES = 64 << 10
-HEAD_BYTES = 8
-FINGERPRINT_BYTES = 2 * HEAD_BYTES
+# Length of the prefix of a body that is hashed. Each host reads at least this much
+# before it forwards anything, so that all of them compute the same fingerprint for a
+# streamed body.
+BODY_PREFIX_BYTES = 64 << 10
+PART_BYTES = 8
+FINGERPRINT_BYTES = 2 * PART_BYTES
 
 
 def fingerprint(method, headers, target, body):
-    """Return what tells a request from others, and its next sending not.
+    """Return a hash that identifies a request and is the same when it is sent again.
 
     Parameters
     ----------
     method, target : bytes
         As in the request line; the target with its query.
     headers : Headers or list of tuple
-        Fields of the request; all but the host differ from one sending of a
-        request to the next (ids, deadlines, traces) and do not count.
+        Header fields of the request. Only the host is hashed; the others, such as
+        IDs, deadlines and traces, may differ when a request is sent again.
     body : bytes
-        The body, or of a long one at least the first 64 KB.
+        The body, or at least the first 64 KB of a long one.
 
     Returns
     -------
     bytes
-        `FINGERPRINT_BYTES` of them; the first half is that of the head alone.
+        A hash of `FINGERPRINT_BYTES` bytes; its first half covers the head only.
 
     Notes
     -----
-    Some 3 us for a short request and 70 us for 64 KB of body. Nobody can make a
-    request that passes for a given other one: that takes 2**63 tries or more.
+    Takes about 3 us for a short request and 70 us for 64 KB of body. Forging a
+    request with the fingerprint of a given other one takes at least 2**63 attempts.
 
     Examples
     --------
@@ -44,16 +50,16 @@
     >>> one == fingerprint(b"GET", again, b"/y", b"")
     False
     """
-    return head_print(method, headers, target) + body_print(body)
+    return head_fingerprint(method, headers, target) + body_fingerprint(body)
 
 
-def head_print(method, headers, target):
-    """Return the part of a fingerprint that needs no body, bytes."""
+def head_fingerprint(method, headers, target):
+    """Return the first half of a fingerprint, computed from the head, as bytes."""
     host = next((value for name, value in headers if name.lower() == b"host"), b"")
     head = b"\n".join((method, host.lower(), target))
-    return blake2b(head, digest_size=HEAD_BYTES).digest()
+    return blake2b(head, digest_size=PART_BYTES).digest()
 
 
-def body_print(body):
-    """Return the part of a fingerprint that a body makes, bytes."""
-    return blake2b(body[:BODY_BYTES], digest_size=HEAD_BYTES).digest()
+def body_fingerprint(body):
+    """Return the second half of a fingerprint, computed from the body, as bytes."""
+    return blake2b(body[:BODY_PREFIX_BYTES], digest_size=PART_BYTES).digest()
--- a/guavastream/relay/guard.py
+++ b/guavastream/relay/guard.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass, field
 
 from guavastream.kernel import TimeLimit, part_logger, record
-from guavastream.relay.admission import LAST_SECONDS, Gate
+from guavastream.relay.admission import ANSWER_MARGIN_SECONDS, AdmissionQueue
 from guavastream.relay.outcome import NotRun
 from guavastream.relay.pick import Report
 from guavastream.relay.quarantine import Quarantine
 from guavastream.relay.server_client import ServerClient
-from guavastream.relay.turns import Turns
+from guavastream.relay.turns import LifoLock
 
 __all__ = ["Attempt", "Guard", "Held"]
 
@@ -125,8 +125,8 @@
         )
         self.quarantine = Quarantine(clock=self._clock, books=books, count=count)
         # Held by the one request that runs of those that may be to blame.
-        self._alone = Turns(loop=loop)
-        self._gate = Gate(loop=loop, policy=policy)
+        self._alone = LifoLock(loop=loop)
+        self._gate = AdmissionQueue(loop=loop, policy=policy)
         self._id = self._here = ""
         self._held = None
         self._left_at = {}
@@ -159,7 +159,7 @@
             waiting=gate.waiting,
             slots=gate.slots,
             seconds=gate.seconds,
-            of_kind=gate.measured(kind),
+            of_kind=gate.mean_seconds_for(kind),
         )
 
     def refuse_waiting(self):
@@ -241,7 +241,7 @@
             # a server that has time for them.
             self._keys[attempt.key] = self._keys.get(attempt.key, 0) + 1
         self._check_leaving(instance)
-        if self._server.watch.is_over(instance.id):
+        if self._server.watch.has_ended(instance.id):
             raise NotRun("unreachable")
         alone = await self._wait_alone(attempt, instance)
         try:
@@ -267,7 +267,7 @@
                 self._gate.leave(usual, kind=attempt.kind, seconds=seconds)
         finally:
             if alone:
-                self._alone.give_back()
+                self._alone.release()
 
     async def _wait_alone(self, attempt, instance):
         """Wait until no other request runs that may be to blame, if this one may be.
@@ -276,18 +276,18 @@
         the request is cleared. Returns whether it was waited for.
         """
         standing = self.quarantine.check(attempt, instance)
-        if standing is None or not standing.watched:
+        if standing is None or not standing.must_run_alone:
             return False
-        needed = max(LAST_SECONDS, self._gate.usual(attempt.kind))
+        needed = max(ANSWER_MARGIN_SECONDS, self._gate.usual(attempt.kind))
         try:
-            await self._alone.take(until=attempt.deadline - needed)
+            await self._alone.acquire(until=attempt.deadline - needed)
         except TimeoutError:
             raise NotRun("overloaded") from None
         try:
             # While it waited, it may have been found to be the one.
             self.quarantine.check(attempt, instance)
         except NotRun:
-            self._alone.give_back()
+            self._alone.release()
             raise
         return True
 
@@ -314,10 +314,10 @@
         # With an error the server may not have come to what does it harm.
         if not answer.ended or answer.status >= SERVER_ERROR:
             return
-        standing = self.quarantine.look(attempt)
+        standing = self.quarantine.status_of(attempt)
         if standing is not None:
-            self.quarantine.note_answered(standing.print)
-            self._on_answered(standing.print, instance)
+            self.quarantine.note_answered(standing.fingerprint)
+            self._on_answered(standing.fingerprint, instance)
 
     def _log_refusal(self, attempt, refused):
         """Say what decided a refusal: the ingress knows no more than its code."""
@@ -347,7 +347,9 @@
             raise NotRun("leaving")
 
     async def _check_key(self, attempt):
-        until = min(attempt.deadline - LAST_SECONDS, self._clock() + GRANT_SECONDS)
+        until = min(
+            attempt.deadline - ANSWER_MARGIN_SECONDS, self._clock() + GRANT_SECONDS
+        )
         while not self._holds_key(attempt):
             owner = self._books.table.owner_of(attempt.service, attempt.key)
             if owner is None or owner.id != attempt.instance:
--- a/guavastream/relay/hop.py
+++ b/guavastream/relay/hop.py
@@ -4,7 +4,7 @@
 
 from guavastream.http1 import CutOff, format_head
 from guavastream.kernel import TimeLimit, TimeLimits, replace
-from guavastream.relay.admission import Gate
+from guavastream.relay.admission import AdmissionQueue
 from guavastream.relay.dialect import OWN
 from guavastream.relay.guard import Attempt
 from guavastream.relay.job import read_body
@@ -138,7 +138,7 @@
         # Set in the last moments of a stop: whoever still asks for the local
         # server is told that nothing ran.
         self.leaving = False
-        self._intake = Gate(loop=loop, slots=MOST_BODIES)
+        self._intake = AdmissionQueue(loop=loop, slots=MOST_BODIES)
         self._link_rate = link_rate
         self._usual_length = 0.0
         self._limits = TimeLimits(loop=loop)
--- a/guavastream/relay/ingress.py
+++ b/guavastream/relay/ingress.py
@@ -7,7 +7,7 @@
 
 from guavastream.http1 import Client, CutOff, NotSent
 from guavastream.kernel import Policy, TimeLimits, part_logger, replace
-from guavastream.relay.budget import RetryShare
+from guavastream.relay.budget import RetryBudget
 from guavastream.relay.dialect import OWN
 from guavastream.relay.fingerprint import fingerprint
 from guavastream.relay.guard import Attempt
@@ -178,7 +178,7 @@
     async def _serve(self, job, responder):
         share = self._shares.get(job.service)
         if share is None:
-            share = self._shares[job.service] = RetryShare(ratio=self._ratio)
+            share = self._shares[job.service] = RetryBudget(ratio=self._ratio)
         share.earn()
         tried = set()
         told = None
@@ -240,19 +240,19 @@
         print = self._print_of(job)
         quarantine = self._guard.quarantine
         quarantine.note_end(print, server.id)
-        standing = quarantine.look(job)
-        return standing is not None and standing.watched
+        standing = quarantine.status_of(job)
+        return standing is not None and standing.must_run_alone
 
     def _log_try(self, job, server, code):
         if not log.isEnabledFor(logging.INFO):
             return
-        weighed = self._picker.weighed(job.drawn, job.route.name)
+        best_servers = self._picker.best_servers(job.drawn, job.route.name)
         log.info(
             "Try failed.",
             extra={
                 "service": job.service,
                 "kind": job.route.name,
-                "weighed": weighed,
+                "weighed": best_servers,
                 "request": job.id.decode("latin-1"),
                 "code": code,
                 "server": server.id if server else "",
@@ -286,12 +286,12 @@
             if self._picker.is_silent(owner, job.route.name):
                 # It would wait out its time and end without an answer.
                 raise NotRun("silent", retry_after=USUAL_RETRY)
-            if not self._picker.may_ask(owner):
+            if not self._picker.may_send(owner):
                 raise NotRun("unreachable", retry_after=USUAL_RETRY)
             return owner
         here = self._guard.here
         choices = self._lists.of(book.instances, job.service)
-        job.drawn[:] = self._picker.draw(choices, tried, here=here)
+        job.drawn[:] = self._picker.candidates(choices, tried, here=here)
         server = self._picker.choose(
             job.drawn,
             kind=job.route.name,
--- a/guavastream/relay/job.py
+++ b/guavastream/relay/job.py
@@ -8,7 +8,7 @@
 from guavastream.kernel import Policy, TimeLimit, record
 from guavastream.relay.dialect import OWN
 from guavastream.relay.outcome import NotRun
-from guavastream.relay.returns import Returns
+from guavastream.relay.returns import RetryTracker
 
 __all__ = ["BadRequest", "Job", "JobReader", "read_body"]
 
@@ -113,7 +113,7 @@
         self._routes = routes
         self._service = service.encode()
         self._running_attempt = running_attempt
-        self._returns = Returns()
+        self._returns = RetryTracker()
         self._rng = random.Random()
         names = dialect
         self._own = frozenset(
@@ -156,7 +156,7 @@
         call = parent is not None
         if gives_up is not None and not call and self._policy.returns:
             what = (route.name, request.target)
-            first = self._returns.take(what, gives_up=gives_up, now=started)
+            first = self._returns.pop_first_asked(what, gives_up=gives_up, now=started)
         wanted_by = min(first + route.target, deadline)
         # Most bodies have come with their heads.
         if not request.length or request.body.ended:
--- a/guavastream/relay/pick.py
+++ b/guavastream/relay/pick.py
@@ -1,4 +1,4 @@
-"""Choose a server for a request that has no key, by expected waiting time."""
+"""Chooses a server for a request without a key, by expected response time."""
 
 import heapq
 import math
@@ -8,60 +8,69 @@
 
 __all__ = ["Picker", "Report", "format_report", "parse_report"]
 
-# A report older than this says little about what waits at a server now.
-REPORT_SECONDS = 1.0
-# Time assumed of a request before any was measured, seconds.
-USUAL_SECONDS = 0.1
-# Another zone's server must be this much better to be preferred: bytes
-# between zones cost, and nobody waits longer for so little.
-ZONE_FACTOR = 1.08
-# A request stays in its zone if a server there answers within this share of
-# the time in which an answer has its full worth: nobody is served worse, and
-# bytes between zones cost. For a large body, which costs more, a longer time
-# is enough.
-ENOUGH = 0.45
+# A report older than this says little about the requests that wait at a server now.
+REPORT_VALID_SECONDS = 1.0
+# Estimated time of a request while there are no samples.
+DEFAULT_SECONDS = 0.1
+# Factor on the expected time of a server in another zone: traffic between zones costs
+# money, and a delay this small is not noticed.
+CROSS_ZONE_FACTOR = 1.08
+# A request stays in its zone if a server there is expected to answer within this share
+# of the target time: the answer keeps its full value, and traffic between zones costs
+# money. Large bodies cost more, so for them a longer time is accepted.
+LOCAL_TARGET_SHARE = 0.45
 LARGE_BYTES = 10_000
-ENOUGH_LARGE = 0.6
-# Hosts that see the same do not all choose the same: expected times are drawn
-# from within this share of what they are.
-TIE_SHARE = 0.05
-# Share of busy slots from which on a server is taken for slower, so that those
+LARGE_LOCAL_TARGET_SHARE = 0.6
+# Expected times vary randomly by up to this share, so that hosts with the same
+# information do not all choose the same server.
+JITTER_SHARE = 0.05
+# Share of busy slots above which a server is expected to be slower, so that servers
 # with free slots are filled evenly.
 BUSY_LOAD = 0.5
-# Weight of the newest report in what a kind of request takes anywhere.
-TYPICAL_WEIGHT = 0.05
-# A failure raises a server's burden by this; it fades with each answer and
-# over FADE_SECONDS, so that a server that recovers is tried again.
-FAILURE_BURDEN = 0.6
-FADE_SECONDS = 2.0
-# A server has stopped to answer if that many requests of this process wait
-# there and none was answered for this long, and for that many times what one
-# takes. Fewer wait, or shorter, now and then at any server.
+# Weight of the newest report in the average time of a kind of request on all servers.
+KIND_AVERAGE_WEIGHT = 0.05
+# Added to a server's penalty by each failure. The penalty decays with each success
+# and with a time constant of PENALTY_DECAY_SECONDS, so that a server is tried again
+# after it has recovered.
+FAILURE_PENALTY = 0.6
+PENALTY_DECAY_SECONDS = 2.0
+# A server is unresponsive if at least SILENT_REQUESTS requests of this process are in
+# flight there and it has answered none for SILENT_SECONDS and for SILENT_TIMES times
+# the usual time of such a request. Fewer unanswered requests, or a shorter silence,
+# occur now and then at any server.
 SILENT_REQUESTS = 4
 SILENT_SECONDS = 0.4
 SILENT_TIMES = 3.0
-# An unreachable host is passed over for this long, growing to the longest.
-FIRST_OUT_SECONDS = 0.4
-LONGEST_OUT_SECONDS = 3.0
-# An owner of keys that could not be reached is asked by one request of this process
-# in this time; the others wait for its word.
+# Backoff of an unreachable server: the first and the longest time without requests.
+MIN_BACKOFF_SECONDS = 0.4
+MAX_BACKOFF_SECONDS = 3.0
+# Interval between requests of this process to an unreachable owner of keys; other
+# requests wait for the outcome.
 PROBE_SECONDS = 0.05
-# Of a service's servers at most this share is passed over.
-MOST_OUT = 0.5
-# Servers that are drawn from all of a large service when those that this host
-# usually asks have all been tried or are out of reach.
-DRAWN = 6
-# Servers that a line of the log tells of. All 31 of a service made lines of
-# 3 KB: an incident's logs then held the last third of a second.
+# Largest share of a service's servers that is skipped as unreachable.
+MAX_SKIPPED_SHARE = 0.5
+# Size of the random sample from a large service that is used when all servers of this
+# host's subset have been tried or are unreachable.
+SAMPLED_SERVERS = 6
+# Number of servers in one log record. With all 31 servers of a service, records of
+# 3 KB left room for only the last third of a second of an incident in the log.
 LOGGED_SERVERS = 4
 
 
 @record
 class Report:
-    """A server's state as the process beside it sees it.
+    """State of a server as seen by the process beside it.
 
-    `seconds` is the usual time of all its requests, `of_kind` that of the kind
-    that is asked about; 0 is unknown.
+    Parameters
+    ----------
+    running, waiting : int
+        Number of requests at the server and in the queue before it.
+    slots : int
+        Number of requests that the server runs concurrently.
+    seconds : float
+        Average time of all requests, 0 if unknown.
+    of_kind : float
+        Average time of the kind of request that was answered, 0 if unknown.
     """
 
     running: int = 0
@@ -89,7 +98,7 @@
 
 
 def parse_report(value):
-    """Return the report of a header value, or None.
+    """Return the report encoded in a header value, None if it is malformed.
 
     Examples
     --------
@@ -110,22 +119,27 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class _Seen:
+class _ServerState:
+    """What this process knows of one server; times are clock times."""
+
     report: Report
-    kinds: dict = field(default_factory=dict)
-    at: float = float("-inf")
-    sent_since: int = 0
-    mine: int = 0
-    heard_at: float = float("-inf")
-    burden: float = 0.0
-    burden_at: float = 0.0
-    out_until: float = float("-inf")
-    out_for: float = 0.0
+    # Average request time by kind, in seconds.
+    kind_seconds: dict = field(default_factory=dict)
+    reported_at: float = float("-inf")
+    sent_since_report: int = 0
+    # Requests of this process.
+    in_flight: int = 0
+    answered_at: float = float("-inf")
+    penalty: float = 0.0
+    penalty_at: float = 0.0
+    skip_until: float = float("-inf")
+    # Current backoff, 0 if the server was reachable last.
+    backoff: float = 0.0
     probed_at: float = float("-inf")
 
 
 class Picker:
-    """What this process knows of each server, and the choice among them.
+    """Tracks the state of each server and chooses among them.
 
     Parameters
     ----------
@@ -134,7 +148,7 @@
     rng : random.Random
         Breaks ties, so that hosts do not all choose the same server.
     zone : str
-        Own availability zone.
+        Availability zone of this host.
     policy : Policy, optional
         Mechanisms that are in force.
     """
@@ -144,239 +158,262 @@
         self._clock = clock
         self._rng = rng
         self._zone = zone
-        self._seen = {}
-        self._typical = {}
+        self._states = {}
+        self._kind_averages = {}
 
-    def draw(self, choices, avoid=frozenset(), *, here=""):
-        """Return the servers to choose among for one request, a list.
+    def candidates(self, choices, avoid=frozenset(), *, here=""):
+        """Return the list of servers to choose among for one request.
 
         Parameters
         ----------
         choices : Choices
-            Those that may get it.
+            Servers of the service.
         avoid : set of str
-            Ids that were tried.
+            IDs of the servers that have been tried.
         here : str
-            Id of the server on this host, which is always among them.
+            ID of the server on this host, which is included if it was not tried.
 
         Notes
         -----
-        Those that this host usually asks, and if these have all been tried or are
-        out of reach, some others: a zone may be gone. Then all that are left.
+        These are the reachable servers of this host's subset and the one on this host.
+        If there are none, perhaps because a zone has failed, they are the reachable
+        ones of a random sample of all servers. If there are none either, they are all
+        servers that have not been tried.
         """
-        if len(choices.few) == len(choices.all):
+        if len(choices.subset) == len(choices.all):
             return [server for server in choices.all if server.id not in avoid]
-        found = self._reachable(choices.few, avoid)
+        found = self._reachable(choices.subset, avoid)
         local = choices.by_id.get(here)
         if local is not None and here not in avoid and local not in found:
             found.append(local)
         if not found:
-            drawn = self._rng.sample(choices.all, DRAWN)
+            drawn = self._rng.sample(choices.all, SAMPLED_SERVERS)
             found = self._reachable(drawn, avoid)
         return found or [s for s in choices.all if s.id not in avoid]
 
     def _reachable(self, servers, avoid):
-        """Return the servers that were not tried and are not out of reach."""
+        """Return the servers that were not tried and are not skipped as unreachable."""
         now = self._clock()
         return [
             server
             for server in servers
-            if server.id not in avoid and self._of(server).out_until <= now
+            if server.id not in avoid and self._state_of(server).skip_until <= now
         ]
 
-    def _of(self, server):
-        seen = self._seen.get(server.id)
-        if seen is None:
+    def _state_of(self, server):
+        """Return the `_ServerState` of a server, a new one if it is unknown."""
+        state = self._states.get(server.id)
+        if state is None:
             report = Report(slots=max(1, server.slots))
-            seen = self._seen[server.id] = _Seen(report=report)
-        return seen
+            state = self._states[server.id] = _ServerState(report=report)
+        return state
 
     def choose(
         self, servers, avoid=frozenset(), *, kind="", size=0, target=0.0, here=""
     ):
-        """Return the server with the least expected time, or None.
+        """Return the server with the least expected time, None if there is none.
+
+        A server on this host or in this zone is preferred if it is fast enough.
 
         Parameters
         ----------
         servers : list of Instance
-            Those that may get the request.
+            Servers that may get the request.
         avoid : set of str
-            Ids that were tried.
+            IDs of the servers that have been tried.
         kind : str
-            Requests of one kind take about the same time.
+            Groups requests that take about the same time.
         size : int
-            Bytes of the request's body.
+            Length of the request's body in bytes.
         target : float
-            Seconds in which an answer has its full worth.
+            Time in seconds within which an answer has its full value.
         here : str
-            Id of the server on this host, which needs no hop to another one.
+            ID of the server on this host, which needs no hop to another host.
         """
         fresh = [s for s in servers if s.id not in avoid]
-        pool = self._without_out(fresh)
+        pool = self._without_skipped(fresh)
         if not pool:
             return None
-        enough = target * (ENOUGH_LARGE if size >= LARGE_BYTES else ENOUGH)
+        enough = target * (
+            LARGE_LOCAL_TARGET_SHARE if size >= LARGE_BYTES else LOCAL_TARGET_SHARE
+        )
         best, least = None, math.inf
         nearest, least_near = None, math.inf
         now = self._clock()
         for server in pool:
-            time = self._expected(server, kind, now)
+            time = self._expected_seconds(server, kind, now)
             if server.id == here and time <= enough and self._policy.near:
                 return server
             if time < least:
                 best, least = server, time
             if server.zone == self._zone and time < least_near:
                 nearest, least_near = server, time
-        stays = least_near <= enough and self._policy.near
-        return nearest if stays else best
+        keeps_zone = least_near <= enough and self._policy.near
+        return nearest if keeps_zone else best
 
-    def _without_out(self, servers):
+    def _without_skipped(self, servers):
+        """Return the servers that are not skipped, all if too many would be skipped."""
         now = self._clock()
-        kept = [s for s in servers if self._of(s).out_until <= now]
-        # Beyond this share the fault is more likely ours than theirs.
-        if len(kept) < len(servers) * (1 - MOST_OUT):
+        kept = [s for s in servers if self._state_of(s).skip_until <= now]
+        # If most servers seem unreachable, the fault is more likely on this host.
+        if len(kept) < len(servers) * (1 - MAX_SKIPPED_SHARE):
             return servers
         return kept
 
-    def _expected(self, server, kind, now):
-        """Return the expected time of a request there, seconds.
+    def _expected_seconds(self, server, kind, now):
+        """Return the expected time until a server has answered a request.
 
         Notes
         -----
-        Its own time and the wait are told apart. A server that mostly got
-        short requests would else look fast, get them all, and those that got
-        the long ones would stand by.
+        The time of the request itself is estimated by its kind, the wait by the mean
+        of all kinds. With one mean for both, a server that mostly got short requests
+        would look fast and get all requests, while servers with long ones would idle.
         """
-        seen = self._of(server)
-        report = seen.report
-        there = seen.mine
-        if now - seen.at < REPORT_SECONDS:
-            there = max(there, report.running + report.waiting + seen.sent_since)
-        mean = report.seconds or USUAL_SECONDS
-        load = (there + 1) / report.slots
+        state = self._state_of(server)
+        report = state.report
+        queued = state.in_flight
+        if now - state.reported_at < REPORT_VALID_SECONDS:
+            queued = max(
+                queued, report.running + report.waiting + state.sent_since_report
+            )
+        mean = report.seconds or DEFAULT_SECONDS
+        load = (queued + 1) / report.slots
         time = mean
         if self._policy.kinds:
-            time = seen.kinds.get(kind) or self._typical.get(kind) or mean
+            time = state.kind_seconds.get(kind) or self._kind_averages.get(kind) or mean
         time *= 1 + max(0.0, min(load, 1.0) - BUSY_LOAD)
         time += mean * max(0.0, load - 1.0)
-        time = max(time, self._silence(seen, now))
-        if seen.burden:
-            time *= 1 + seen.burden * math.exp((seen.burden_at - now) / FADE_SECONDS)
+        time = max(time, self._silence(state, now))
+        if state.penalty:
+            time *= 1 + state.penalty * math.exp(
+                (state.penalty_at - now) / PENALTY_DECAY_SECONDS
+            )
         if server.zone != self._zone:
-            time *= ZONE_FACTOR
-        return time * (1 - TIE_SHARE + 2 * TIE_SHARE * self._rng.random())
+            time *= CROSS_ZONE_FACTOR
+        return time * (1 - JITTER_SHARE + 2 * JITTER_SHARE * self._rng.random())
 
-    def _silence(self, seen, now):
-        """Return for how long requests have been there without any answer.
+    def _silence(self, state, now):
+        """Return the seconds since the last answer while requests are in flight.
 
         Notes
         -----
-        A server that froze or went dark fails nothing; its requests wait out
-        their time. How long it has been silent already is the best guess at
-        how long it will stay so.
+        A frozen or disconnected server reports no failures; its requests run into
+        their timeouts. It is expected to stay unresponsive for as long again as it
+        has been so far.
         """
-        if not seen.mine or not self._policy.silence:
+        if not state.in_flight or not self._policy.silence:
             return 0.0
-        return now - seen.heard_at
+        return now - state.answered_at
 
     def is_silent(self, server, kind):
-        """Whether a server has stopped to answer, as far as can be told.
+        """Whether a server seems to be unresponsive.
 
-        One request may take long; several without any answer for many times
-        their usual time do not.
+        One request may take long, but it is unlikely that several get no answer for
+        many times their usual time.
         """
-        seen = self._of(server)
-        if seen.mine < SILENT_REQUESTS:
+        state = self._state_of(server)
+        if state.in_flight < SILENT_REQUESTS:
             return False
-        usual = seen.kinds.get(kind) or self._typical.get(kind) or USUAL_SECONDS
-        silence = self._silence(seen, self._clock())
+        usual = (
+            state.kind_seconds.get(kind)
+            or self._kind_averages.get(kind)
+            or DEFAULT_SECONDS
+        )
+        silence = self._silence(state, self._clock())
         return silence > max(SILENT_SECONDS, SILENT_TIMES * usual)
 
-    def weighed(self, servers, kind):
-        """Return the best servers as they are known now, for the log.
+    def best_servers(self, servers, kind):
+        """Return a summary of the best servers at the moment, for log records.
 
         Returns
         -------
         list of dict
-            At most LOGGED_SERVERS, the one with the least expected time first.
+            At most `LOGGED_SERVERS`, in ascending order of expected time.
         """
         now = self._clock()
-        times = [(self._expected(server, kind, now), server) for server in servers]
+        times = [
+            (self._expected_seconds(server, kind, now), server) for server in servers
+        ]
         best = heapq.nsmallest(LOGGED_SERVERS, times, key=lambda pair: pair[0])
         return [
             {
                 "server": server.id,
                 "expected_ms": int(1000 * time),
-                "mine": self._of(server).mine,
-                "report_ms": int(1000 * min(now - self._of(server).at, 1e6)),
+                "mine": self._state_of(server).in_flight,
+                "report_ms": int(
+                    1000 * min(now - self._state_of(server).reported_at, 1e6)
+                ),
             }
             for time, server in best
         ]
 
     def begin(self, server):
-        """Note a request on its way to a server."""
-        seen = self._of(server)
-        if not seen.mine:
-            seen.heard_at = self._clock()
-        seen.mine += 1
-        seen.sent_since += 1
+        """Note that a request is being sent to a server."""
+        state = self._state_of(server)
+        if not state.in_flight:
+            state.answered_at = self._clock()
+        state.in_flight += 1
+        state.sent_since_report += 1
 
     def end(self, server):
-        """Note that a request is over."""
-        self._of(server).mine -= 1
+        """Note that a request to a server has finished."""
+        self._state_of(server).in_flight -= 1
 
     def note_report(self, server, report, *, kind=""):
-        """Take what came with an answer to a request of a kind."""
-        seen = self._of(server)
+        """Take the report that came with an answer to a request of a kind."""
+        state = self._state_of(server)
         if report.of_kind:
-            seen.kinds[kind] = report.of_kind
-            before = self._typical.get(kind, report.of_kind)
-            change = TYPICAL_WEIGHT * (report.of_kind - before)
-            self._typical[kind] = before + change
-        seen.report = report
-        seen.at = seen.heard_at = self._clock()
-        seen.sent_since = 0
+            state.kind_seconds[kind] = report.of_kind
+            before = self._kind_averages.get(kind, report.of_kind)
+            change = KIND_AVERAGE_WEIGHT * (report.of_kind - before)
+            self._kind_averages[kind] = before + change
+        state.report = report
+        state.reported_at = state.answered_at = self._clock()
+        state.sent_since_report = 0
 
     def note_answer(self, server, *, failed):
-        """Judge a server by an answer, whatever its health check says."""
-        seen = self._of(server)
+        """Update a server's penalty by an answer, whatever its health check says."""
+        state = self._state_of(server)
         now = self._clock()
-        left = seen.burden * math.exp((seen.burden_at - now) / FADE_SECONDS)
+        left = state.penalty * math.exp(
+            (state.penalty_at - now) / PENALTY_DECAY_SECONDS
+        )
         if self._policy.burden:
-            seen.burden = left + FAILURE_BURDEN if failed else left * 0.8
-        seen.burden_at = now
+            state.penalty = left + FAILURE_PENALTY if failed else left * 0.8
+        state.penalty_at = now
         if not failed:
-            seen.heard_at = now
-            seen.out_for = 0.0
+            state.answered_at = now
+            state.backoff = 0.0
 
-    def may_ask(self, server):
-        """Whether a request may be sent to the only server that it can go to.
+    def may_send(self, server):
+        """Whether a request may be sent now to the only server that can serve it.
 
-        One that could not be reached is asked by one request at a time: some hundred
-        that wait for the same owner would each ask it some thirty times a second.
+        After a server could not be reached, only one request at a time is sent there.
+        Otherwise each of several hundred requests that wait for the same owner would
+        try about thirty times a second.
         """
-        seen = self._of(server)
-        if not seen.out_for:
+        state = self._state_of(server)
+        if not state.backoff:
             return True
         now = self._clock()
-        if now - seen.probed_at < PROBE_SECONDS:
+        if now - state.probed_at < PROBE_SECONDS:
             return False
-        seen.probed_at = now
+        state.probed_at = now
         return True
 
     def note_reached(self, server):
-        """Note that a server's host has answered, whatever it said."""
-        self._of(server).out_for = 0.0
+        """Note that a server's host has answered, with success or failure."""
+        self._state_of(server).backoff = 0.0
 
     def note_unreachable(self, server):
-        """Pass over a server that could not be reached, for a growing time."""
-        seen = self._of(server)
-        longer = max(FIRST_OUT_SECONDS, 2 * seen.out_for)
-        seen.probed_at = self._clock()
-        seen.out_for = min(LONGEST_OUT_SECONDS, longer)
-        seen.out_until = self._clock() + seen.out_for
+        """Skip an unreachable server for a time that doubles with each failure."""
+        state = self._state_of(server)
+        longer = max(MIN_BACKOFF_SECONDS, 2 * state.backoff)
+        state.probed_at = self._clock()
+        state.backoff = min(MAX_BACKOFF_SECONDS, longer)
+        state.skip_until = self._clock() + state.backoff
 
     def keep_only(self, ids):
-        """Forget servers that are gone."""
-        for id in [id for id in self._seen if id not in ids]:
-            del self._seen[id]
+        """Forget all servers whose IDs are not in `ids`."""
+        for id in [id for id in self._states if id not in ids]:
+            del self._states[id]
--- a/guavastream/relay/quarantine.py
+++ b/guavastream/relay/quarantine.py
@@ -1,66 +1,72 @@
-"""Keeps requests under which servers ended away from further servers."""
+"""Keeps requests that seem to crash servers away from other servers."""
 
 from collections import OrderedDict
 
 from guavastream.fleet import ENOUGH_ENDS
 from guavastream.kernel import part_logger
-from guavastream.relay.fingerprint import FINGERPRINT_BYTES, body_print, head_print
+from guavastream.relay.fingerprint import (
+    FINGERPRINT_BYTES,
+    body_fingerprint,
+    head_fingerprint,
+)
 from guavastream.relay.outcome import NotRun
 
-__all__ = ["Quarantine", "Standing"]
+__all__ = ["Quarantine", "SuspectStatus"]
 
-# Requests that this host has seen end servers itself and the book does not show
-# (yet), and for how long they count without it, seconds.
-MOST_SEEN = 256
-SEEN_SECONDS = 5.0
-# A host that has heard no control host for this long decides by what it has seen.
+# Number of requests for which this host remembers the servers that it saw end, and how
+# long these records count while the fleet state does not list the request.
+MAX_LOCAL_SUSPECTS = 256
+LOCAL_SUSPECT_SECONDS = 5.0
+# Without contact to a control host for this long, a host also refuses requests by
+# what it has observed itself.
 CUT_OFF_SECONDS = 2.0
-# Advice to come back for what is refused, seconds: no sooner than somebody can have
-# mended the server.
+# Retry-After advice for a refused request: the earliest time by which an operator may
+# have repaired the server.
 RETRY_SECONDS = 60.0
-# Ends of servers from which on a request runs beside no other such one, and is not
-# sent on by this system when another server has ended under it.
-WATCHED_ENDS = ENOUGH_ENDS - 1
+# Once this many server instances have ended during a request, it never runs at the
+# same time as another such request, and it is not sent to another server by this
+# system after one has ended during it.
+RUN_ALONE_ENDS = ENOUGH_ENDS - 1
 
 log = part_logger("quarantine")
 
 
-class Standing:
-    """What is known of one request under which servers ended.
+class SuspectStatus:
+    """What is known of a request during which server instances ended.
 
     Parameters
     ----------
-    print : bytes
-        Its fingerprint.
+    fingerprint : bytes
+        Fingerprint of the request.
     suspect : Suspect or None
-        What the book tells.
+        Its entry in the fleet state.
     seen : set of str
-        Lives that this host has seen end under it.
+        IDs of the server instances that this host saw end during it.
     cut_off : bool
-        Whether the book may be long out of date.
+        Whether the fleet state may be long out of date.
     """
 
-    __slots__ = ("print", "_cut_off", "_seen", "_suspect")
+    __slots__ = ("fingerprint", "_cut_off", "_seen", "_suspect")
 
-    def __init__(self, *, print, suspect, seen, cut_off):
-        self.print = print
+    def __init__(self, *, fingerprint, suspect, seen, cut_off):
+        self.fingerprint = fingerprint
         self._suspect = suspect
         self._seen = seen
         self._cut_off = cut_off
 
     @property
     def ends(self):
-        """Lives that are known to have ended under it."""
+        """Number of server instances that are known to have ended during it."""
         known = self._suspect.ends if self._suspect else 0
         return max(known, len(self._seen))
 
     @property
-    def watched(self):
-        """Whether it may not run beside another one like it."""
-        return self.ends >= WATCHED_ENDS
+    def must_run_alone(self):
+        """Whether it may not run at the same time as another such request."""
+        return self.ends >= RUN_ALONE_ENDS
 
     def is_refused_at(self, server):
-        """Whether it is not to be sent to a server."""
+        """Whether it must not be sent to a server."""
         if self._cut_off and len(self._seen) >= ENOUGH_ENDS:
             return True
         suspect = self._suspect
@@ -70,24 +76,25 @@
 
 
 class Quarantine:
-    """Requests that are suspect to one host: by the book, and by its own eyes.
+    """Suspect requests, from the fleet state and from what this host has observed.
 
-    A host that reaches no control host goes by what it has seen itself.
+    A host that has lost contact to the control hosts also refuses requests by its own
+    observations alone.
 
     Parameters
     ----------
     clock : callable
-        Steady time in seconds.
+        Monotonic time in seconds.
     books : TableHolder
-        Newest book.
+        Holder of the latest fleet state.
     count : callable
         Counts an event by name.
 
     Notes
     -----
-    As long as no server has ended, a check costs 0.2 us, and 3 us while other requests
-    are suspect: only the fingerprint of the head is taken then, and that of the body
-    where the head is one of theirs.
+    A check takes 0.2 us while there are no suspects, and 3 us while there are. Only
+    the head of a request is hashed then; its body is hashed as well if the head
+    matches that of a suspect.
     """
 
     def __init__(self, *, clock, books, count):
@@ -99,76 +106,81 @@
         self._heads = frozenset()
 
     def follow(self, before, book):
-        """Take what a newer book tells."""
+        """Apply the changes from one version of the fleet state to a newer one."""
         if book.suspects is before.suspects:
             return
-        # What is in the book no more, or refused no more, was answered, lifted by an
-        # operator, or let go after a while.
-        for print, suspect in before.suspects.items():
-            now = book.suspects.get(print)
+        # A request that is no longer listed or refused was answered by a server,
+        # released by an operator, or has expired.
+        for fingerprint, suspect in before.suspects.items():
+            now = book.suspects.get(fingerprint)
             if now is None or (suspect.refused and not now.refused):
-                self._seen.pop(print, None)
+                self._seen.pop(fingerprint, None)
         self._suspects = book.suspects
-        self._index()
+        self._index_heads()
 
-    def _index(self):
+    def _index_heads(self):
+        """Rebuild the set of head fingerprints of all suspects."""
         half = FINGERPRINT_BYTES // 2
-        prints = (*self._suspects, *self._seen)
-        self._heads = frozenset(print[:half] for print in prints)
+        fingerprints = (*self._suspects, *self._seen)
+        self._heads = frozenset(fingerprint[:half] for fingerprint in fingerprints)
 
-    def look(self, request):
-        """Return the `Standing` of a job or an attempt, or None if nobody suspects it.
+    def status_of(self, request):
+        """Return the `SuspectStatus` of a job or an attempt, None if not suspect.
 
-        Its `method`, `headers`, `target` and `body` tell.
+        Uses its `method`, `headers`, `target` and `body`.
         """
         if not self._heads:
             return None
-        head = head_print(request.method, request.headers, request.target)
+        head = head_fingerprint(request.method, request.headers, request.target)
         if head not in self._heads:
             return None
-        print = head + body_print(request.body)
-        suspect = self._suspects.get(print)
-        seen = self._seen_of(print, suspect)
+        fingerprint = head + body_fingerprint(request.body)
+        suspect = self._suspects.get(fingerprint)
+        seen = self._seen_ended(fingerprint, suspect)
         if suspect is None and not seen:
             return None
         silence = self._clock() - self._books.confirmed_at
-        return Standing(
-            print=print, suspect=suspect, seen=seen, cut_off=silence > CUT_OFF_SECONDS
+        return SuspectStatus(
+            fingerprint=fingerprint,
+            suspect=suspect,
+            seen=seen,
+            cut_off=silence > CUT_OFF_SECONDS,
         )
 
-    def _seen_of(self, print, suspect):
-        at, lives = self._seen.get(print, (0.0, ()))
-        if not lives or suspect is not None:
-            return lives
-        # Long known to control hosts, which have not kept it or have cleared it.
-        if self._books.confirmed_at - at > SEEN_SECONDS:
-            del self._seen[print]
-            self._index()
+    def _seen_ended(self, fingerprint, suspect):
+        """Return the IDs of the instances that this host saw end during a request."""
+        at, instance_ids = self._seen.get(fingerprint, (0.0, ()))
+        if not instance_ids or suspect is not None:
+            return instance_ids
+        # The control hosts were told long ago and have dropped or cleared it.
+        if self._books.confirmed_at - at > LOCAL_SUSPECT_SECONDS:
+            del self._seen[fingerprint]
+            self._index_heads()
             return ()
-        return lives
+        return instance_ids
 
     def check(self, request, server):
-        """Return the standing of a request that may go to a server, or None.
+        """Return the status of a request that may go to a server, None if not suspect.
 
         Raises
         ------
         NotRun
-            If it is kept from that server.
+            If the request must not be sent to that server.
         """
-        standing = self.look(request)
-        if standing is not None and standing.is_refused_at(server):
+        status = self.status_of(request)
+        if status is not None and status.is_refused_at(server):
             raise NotRun("quarantined", retry_after=RETRY_SECONDS)
-        return standing
+        return status
 
-    def note_end(self, print, life):
-        """Note that this host has seen a life of a server end under a request."""
-        _, lives = self._seen.pop(print, (0.0, frozenset()))
-        self._seen[print] = (self._clock(), lives | {life})
-        while len(self._seen) > MOST_SEEN:
+    def note_end(self, fingerprint, instance_id):
+        """Note that this host saw a server instance end during a request."""
+        _, instance_ids = self._seen.pop(fingerprint, (0.0, frozenset()))
+        self._seen[fingerprint] = (self._clock(), instance_ids | {instance_id})
+        while len(self._seen) > MAX_LOCAL_SUSPECTS:
             self._seen.popitem(last=False)
-        self._index()
+        self._index_heads()
 
-    def note_answered(self, print):
-        """Note that a server has answered a request: it is harmless after all."""
-        if self._seen.pop(print, None):
-            self._index()
+    def note_answered(self, fingerprint):
+        """Note that a server has answered a request, so that it is not harmful."""
+        if self._seen.pop(fingerprint, None):
+            self._index_heads()
--- a/guavastream/relay/returns.py
+++ b/guavastream/relay/returns.py
@@ -1,44 +1,43 @@
-"""Recognizes callers that come back after a refusal or a failure."""
+"""Recognizes retries of callers whose earlier request was refused or failed."""
 
 from collections import OrderedDict
 
-__all__ = ["Returns"]
+__all__ = ["RetryTracker"]
 
-# Requests that are remembered; at 500 refusals a second, and callers that come
-# back within some hundred milliseconds, those of several seconds.
-MOST_REMEMBERED = 2048
-# Between two tries of one caller the time at which it gives up stays the same,
-# but for the jitter of links and of a busy process, seconds.
+# Number of different requests that are remembered: those of several seconds, at 500
+# refusals a second and retries within a few hundred milliseconds.
+MAX_REMEMBERED = 2048
+# Tolerance when comparing the times at which two requests give up. These times are
+# the same for all tries of one caller, except for jitter of links and processes.
 JITTER_SECONDS = 0.03
 
 
-class Returns:
-    """Remembers requests that were not served, for their callers' next tries.
+class RetryTracker:
+    """Remembers requests that were not served, to recognize their retries.
 
     Notes
     -----
-    A caller that comes back asks for the same thing, under another id, and
-    gives up at the same moment as before. How long callers wait differs from
-    one to the next, so that the time it has left tells nothing by itself: of
-    callers that wait 1.7 to 2.0 s, most were taken for ones that had come
-    back and were too late already, which are served last.
+    A retry asks for the same thing under another ID and gives up at the same time as
+    the first try. The remaining time alone does not identify a retry, because the
+    timeouts of callers differ: with timeouts from 1.7 to 2.0 s, most new requests
+    were mistaken for late retries, which are served last.
 
     Examples
     --------
-    >>> returns = Returns()
-    >>> returns.note(("read", b"/x"), gives_up=2.0, first=0.1)
-    >>> returns.take(("read", b"/x"), gives_up=2.01, now=0.4)
+    >>> tracker = RetryTracker()
+    >>> tracker.note(("read", b"/x"), gives_up=2.0, first=0.1)
+    >>> tracker.pop_first_asked(("read", b"/x"), gives_up=2.01, now=0.4)
     0.1
-    >>> returns.take(("read", b"/x"), gives_up=2.01, now=0.5)
+    >>> tracker.pop_first_asked(("read", b"/x"), gives_up=2.01, now=0.5)
     0.5
     """
 
     def __init__(self):
-        self._waiting = OrderedDict()
+        self._unserved = OrderedDict()
         self._numbers = 0
 
     def __len__(self):
-        return len(self._waiting)
+        return len(self._unserved)
 
     def note(self, what, *, gives_up, first):
         """Remember a request that was not served.
@@ -46,27 +45,32 @@
         Parameters
         ----------
         what : tuple
-            What it asked for.
-        gives_up, first : float
-            The clock's times at which its caller gives up, and at which it
-            first asked.
+            Identifies what was requested.
+        gives_up : float
+            Clock time at which the caller gives up.
+        first : float
+            Clock time of the caller's first try.
         """
-        waiting = self._waiting.pop(what, ())
-        # The latest one is the last to be forgotten.
-        kept = [item for item in waiting if item[0] > first]
-        self._waiting[what] = [*kept, (gives_up, first)]
-        while len(self._waiting) > MOST_REMEMBERED:
-            self._waiting.popitem(last=False)
+        unserved = self._unserved.pop(what, ())
+        # Callers that gave up before this one first asked are forgotten. The entry
+        # moves to the end, so that it is dropped last.
+        kept = [item for item in unserved if item[0] > first]
+        self._unserved[what] = [*kept, (gives_up, first)]
+        while len(self._unserved) > MAX_REMEMBERED:
+            self._unserved.popitem(last=False)
 
-    def take(self, what, *, gives_up, now):
-        """Return when the caller of a request first asked; `now` if just now."""
-        waiting = self._waiting.get(what)
-        if not waiting:
+    def pop_first_asked(self, what, *, gives_up, now):
+        """Return the time of the caller's first try, `now` if this is the first.
+
+        The remembered request is removed.
+        """
+        unserved = self._unserved.get(what)
+        if not unserved:
             return now
-        for item in waiting:
+        for item in unserved:
             if abs(item[0] - gives_up) <= JITTER_SECONDS:
-                waiting.remove(item)
-                if not waiting:
-                    del self._waiting[what]
+                unserved.remove(item)
+                if not unserved:
+                    del self._unserved[what]
                 return item[1]
         return now
--- a/guavastream/relay/server_watch.py
+++ b/guavastream/relay/server_watch.py
@@ -1,4 +1,4 @@
-"""Whether the local backend server has ended, told by how connections fail."""
+"""Detects the end of the local backend server by its failing connections."""
 
 import asyncio
 from collections import deque
@@ -10,13 +10,13 @@
 
 __all__ = ["ServerWatch"]
 
-# A server has ended if nobody listens at its address that often, spread over
-# that time.
-ENDED_TRIES = 4
-ENDED_SECONDS = 0.2
-# Requests without an answer that are remembered, and for how long, seconds: the
-# next life of the server, which may be the first sign of its end, comes by then.
-MOST_UNANSWERED = 256
+# A server has ended if its address refuses this many connections in a row, spread
+# over this time.
+REFUSED_CONNECTIONS = 4
+CONFIRM_SECONDS = 0.2
+# Unanswered requests that are remembered, and for how long. The first sign of the end
+# of an instance may be that the next one starts, which happens within this time.
+MAX_UNANSWERED = 256
 UNANSWERED_SECONDS = 10.0
 
 log = part_logger("guard")
@@ -24,41 +24,43 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Run:
-    """A request that a life of the server has, since the clock's time `at`."""
+    """A request that a server instance has been running since the loop time `at`."""
 
-    life: str
+    instance_id: str
     request: object
     at: float
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Unanswered:
-    """A request, by its fingerprint, that got no answer by the clock's time `at`."""
+    """A request, by fingerprint, that ended without an answer at loop time `at`."""
 
-    life: str
-    print: bytes
+    instance_id: str
+    fingerprint: bytes
     at: float
 
 
 class ServerWatch:
-    """Watches the lives of the local server, and what it had when one ended.
+    """Detects the end of instances of the local server, and what each was running.
+
+    Each start of the local server is an instance with its own ID.
 
     Parameters
     ----------
     loop : asyncio.AbstractEventLoop
-        The running loop; its time is the clock.
+        The running loop, whose time is used as the clock.
     client : Client
         Holds the connections to the server.
     on_ended : callable
-        Told the instance that has surely ended, and the fingerprints of the
-        requests that it had, a tuple.
+        Called with an instance that has certainly ended, and a tuple of the
+        fingerprints of the requests that it was running.
 
     Notes
     -----
-    A server that is only full, or about to leave, still has connections of ours
-    open; all of them end with its process, and then nobody listens at its address
-    either, at any of some tries. Requests that have yet to get a connection tell
-    nothing: while a server is away there are always some.
+    A server that is merely overloaded, or about to stop, keeps some connections of
+    this process open. When its process ends, all of them close and its address
+    refuses each of several new ones. Requests that still wait for a connection say
+    nothing about the server: there are always some while it is down.
     """
 
     def __init__(self, *, loop, client, on_ended):
@@ -66,97 +68,115 @@
         self._client = client
         self._on_ended = on_ended
         self._runs = {}
-        self._unanswered = deque(maxlen=MOST_UNANSWERED)
+        self._unanswered = deque(maxlen=MAX_UNANSWERED)
         self._heard_at = {}
-        self._ended = ""
+        self._ended_id = ""
         self._confirming = None
-        self._look = None
+        self._probe = None
 
     @property
     def running(self):
-        """Number of requests that the server has."""
+        """Number of requests at the server."""
         return len(self._runs)
 
-    def is_over(self, id):
-        """Whether a life of the server is known to have ended."""
-        return id == self._ended
+    def has_ended(self, id):
+        """Whether a server instance is known to have ended."""
+        return id == self._ended_id
 
     def begin(self, id, exchange, request):
-        """Note that a life of the server has a request, on a connection."""
-        self._runs[exchange] = _Run(life=id, request=request, at=self._loop.time())
+        """Note that a request was sent to a server instance on a connection."""
+        self._runs[exchange] = _Run(
+            instance_id=id, request=request, at=self._loop.time()
+        )
 
     def note_answered(self, exchange):
-        """Note that the server has answered a request as a whole."""
+        """Note that the server has answered a request completely."""
         run = self._runs.pop(exchange, None)
         if run is None or not self._unanswered:
             return
-        # It lived when this one began: what had no answer by then did it no harm.
-        kept = [u for u in self._unanswered if u.life != run.life or u.at > run.at]
-        self._unanswered = deque(kept, maxlen=MOST_UNANSWERED)
+        # The instance was still alive when this request began, so requests that had
+        # failed by then did not end it.
+        kept = [
+            u
+            for u in self._unanswered
+            if u.instance_id != run.instance_id or u.at > run.at
+        ]
+        self._unanswered = deque(kept, maxlen=MAX_UNANSWERED)
 
     def note_unanswered(self, exchange):
-        """Note that a request got no whole answer: cut, given up or left alone."""
+        """Note that a request got no complete answer: cut off, timed out or dropped."""
         run = self._runs.pop(exchange, None)
         if run is not None:
             self._unanswered.append(self._unanswered_by(run))
 
     def forget(self, exchange):
-        """Note that a request is over, which tells nothing of the server."""
+        """Drop a finished request that says nothing about the server."""
         self._runs.pop(exchange, None)
 
     def _unanswered_by(self, run):
         request = run.request
-        print = fingerprint(
+        request_fingerprint = fingerprint(
             request.method, request.headers, request.target, request.body
         )
-        return _Unanswered(life=run.life, print=print, at=self._loop.time())
+        return _Unanswered(
+            instance_id=run.instance_id,
+            fingerprint=request_fingerprint,
+            at=self._loop.time(),
+        )
 
     def note_heard(self, id):
-        """Note that a life of the server spoke for itself."""
+        """Note that a server instance has announced itself, so it is alive."""
         self._heard_at = {id: self._loop.time()}
-        if id == self._ended:
-            self._ended = ""
+        if id == self._ended_id:
+            self._ended_id = ""
 
     def note_refused(self, instance):
-        """Note that nobody listens at the server's address."""
-        if self.is_over(instance.id):
+        """Note that the server's address refuses connections."""
+        if self.has_ended(instance.id):
             return
         if self._confirming is None or self._confirming.done():
-            self._confirming = asyncio.ensure_future(self._confirm(instance))
+            self._confirming = asyncio.ensure_future(self._confirm_end(instance))
 
     def note_replaced(self, instance):
-        """Note that another life of the server has its address: this one is over."""
-        if self.is_over(instance.id):
+        """Note that another instance has the address, so this one has ended."""
+        if self.has_ended(instance.id):
             return
-        self._ended = instance.id
-        runs = {e: run for e, run in self._runs.items() if run.life == instance.id}
+        self._ended_id = instance.id
+        runs = {
+            e: run for e, run in self._runs.items() if run.instance_id == instance.id
+        }
         for exchange in runs:
             self.note_unanswered(exchange)
-            # Its connection may have gone silent, and would be waited for in vain.
+            # The connection may stay open without ever carrying an answer.
             exchange.reset()
-        self._tell(instance)
+        self._report_end(instance)
 
-    def _tell(self, instance):
+    def _report_end(self, instance):
+        """Call `on_ended` with the recent unanswered requests of an instance."""
         since = self._loop.time() - UNANSWERED_SECONDS
-        found = [u for u in self._unanswered if u.life == instance.id and u.at >= since]
+        found = [
+            u
+            for u in self._unanswered
+            if u.instance_id == instance.id and u.at >= since
+        ]
         self._unanswered.clear()
-        self._on_ended(instance, tuple(dict.fromkeys(u.print for u in found)))
+        self._on_ended(instance, tuple(dict.fromkeys(u.fingerprint for u in found)))
 
     async def is_gone(self, instance):
-        """Whether nobody listens at the server's address right now.
+        """Whether the server's address refuses connections now.
 
-        Connections that break together are followed by one look for all of them.
+        Concurrent calls share one connection attempt.
         """
-        if self.is_over(instance.id):
+        if self.has_ended(instance.id):
             return True
-        if self._look is None or self._look.done():
-            self._look = asyncio.ensure_future(self._refuses(instance))
-        gone = await asyncio.shield(self._look)
+        if self._probe is None or self._probe.done():
+            self._probe = asyncio.ensure_future(self._refuses_connection(instance))
+        gone = await asyncio.shield(self._probe)
         if gone:
             self.note_refused(instance)
         return gone
 
-    async def _refuses(self, instance):
+    async def _refuses_connection(self, instance):
         try:
             exchange = await self._client.open(instance.address, fresh=True)
         except NotSent as error:
@@ -164,23 +184,25 @@
         exchange.close()
         return False
 
-    async def _confirm(self, instance):
+    async def _confirm_end(self, instance):
+        """Report the end of an instance if it is confirmed."""
         began = self._loop.time()
-        if not await self._has_ended(instance):
+        if not await self._keeps_refusing(instance):
             return
         if self._heard_at.get(instance.id, float("-inf")) >= began:
             return
         log.warning("The local server %s has ended.", instance.id)
-        self._ended = instance.id
-        self._tell(instance)
+        self._ended_id = instance.id
+        self._report_end(instance)
 
-    async def _has_ended(self, instance):
-        for _ in range(ENDED_TRIES):
-            if any(run.life == instance.id for run in self._runs.values()):
+    async def _keeps_refusing(self, instance):
+        """Whether an instance has no open connections and refuses all new ones."""
+        for _ in range(REFUSED_CONNECTIONS):
+            if any(run.instance_id == instance.id for run in self._runs.values()):
                 return False
             if self._client.count_open(instance.address):
                 return False
-            if not await self._refuses(instance):
+            if not await self._refuses_connection(instance):
                 return False
-            await asyncio.sleep(ENDED_SECONDS / ENDED_TRIES)
+            await asyncio.sleep(CONFIRM_SECONDS / REFUSED_CONNECTIONS)
         return True
--- a/guavastream/relay/servers.py
+++ b/guavastream/relay/servers.py
@@ -1,4 +1,4 @@
-"""The servers of each service, and the few of them that one host asks."""
+"""The servers of each service, and the subset of them that one host uses."""
 
 from heapq import nlargest
 
@@ -9,19 +9,20 @@
 
 __all__ = ["Choices", "ServerLists"]
 
-# A service with more servers than this is not looked at whole for each request: a
-# choice among 101 servers took 297 us of a processor, one among 12 took 57.
-ALL_WEIGHED = 12
-# Servers of a large service that one host asks: nearby ones, which are enough while
-# all is well, and others for when the zone is in trouble. Always the same ones, so
-# that connections to them are used again (of 113 requests of a host that drew anew
-# each time, nearly all opened one) and what they report is news: with all 74 of a
-# service each is heard of twice a minute, with ten of them every few seconds.
+# Up to this number of servers all are compared for each request. A choice among 101
+# servers took 297 us of processor time, one among 12 took 57 us.
+MAX_COMPARED = 12
+# Size of the subset of a large service that one host uses: servers in its zone, which
+# suffice in normal operation, and others for failures of the zone. The subset stays
+# the same, so that connections are reused (with a new sample for each request, nearly
+# all of 113 requests of a host opened a connection) and reports are recent (with all
+# 74 servers of a service, each reports twice a minute; with ten of them, every few
+# seconds).
 NEAR_SERVERS = 6
 FAR_SERVERS = 4
 
 
-@record
+@record(encoded_names={"subset": "few"})
 class Choices:
     """Servers of one service that may get requests.
 
@@ -29,32 +30,33 @@
     ----------
     all : tuple of Instance
         All of them.
-    few : tuple of Instance
-        Those that this host asks: all, or a small part that is the same each time.
+    subset : tuple of Instance
+        Those that this host uses: all of them, or a small subset that stays the same.
     by_id : dict of str to Instance
-        All, by their ids.
+        All of them, by ID.
     """
 
     all: tuple = ()
-    few: tuple = ()
+    subset: tuple = ()
     by_id: dict = msgspec.field(default_factory=dict)
 
 
 class ServerLists:
-    """Lists of servers, made once for each set of instances in the book.
+    """Server lists by service, computed once for each set of instances.
 
     Parameters
     ----------
     host, zone : str
         This host and its availability zone.
     sampled : bool
-        Whether a large service is asked by a few servers of it only.
+        Whether only a subset of the servers of a large service is used.
 
     Notes
     -----
-    The few are those with the highest hash of the pair of host and server. Each
-    server is among the few of about as many hosts as any other, and when servers
-    come and go a host replaces only those that went, or that a new one outranks.
+    The subset is chosen by rendezvous hashing: it has the servers for which the hash
+    of the pair of host and server is highest. Each server is in the subsets of about
+    as many hosts as any other. When servers come and go, a host replaces only the
+    servers that are gone or that rank below a new one.
 
     References
     ----------
@@ -78,7 +80,8 @@
         Parameters
         ----------
         instances : dict of str to Instance
-            All that are present; a new dict whenever one changes.
+            All present instances by ID. Cached lists are used as long as this is the
+            same object, so pass a new dict whenever an instance changes.
         service : str
             Name of the service.
         """
@@ -97,13 +100,13 @@
             for instance in self._instances.values()
             if instance.service == service and not instance.leaving
         )
-        few = servers
-        if self._sampled and len(servers) > ALL_WEIGHED:
-            few = self._few(servers)
+        subset = servers
+        if self._sampled and len(servers) > MAX_COMPARED:
+            subset = self._subset(servers)
         by_id = {server.id: server for server in servers}
-        return Choices(all=servers, few=few, by_id=by_id)
+        return Choices(all=servers, subset=subset, by_id=by_id)
 
-    def _few(self, servers):
+    def _subset(self, servers):
         near = [server for server in servers if server.zone == self._zone]
         far = [server for server in servers if server.zone != self._zone]
         chosen = nlargest(NEAR_SERVERS, near, key=self._rank)
@@ -111,6 +114,7 @@
         return (*chosen, *nlargest(wanted, far, key=self._rank))
 
     def _rank(self, server):
+        """Return the hash of the pair of this host and a server."""
         rank = self._ranks.get(server.id)
         if rank is None:
             pair = f"{self._host} {server.id}".encode()
--- a/guavastream/relay/shares.py
+++ b/guavastream/relay/shares.py
@@ -1,69 +1,71 @@
-"""How a server's room is shared among kinds of request while it lacks room for all.
+"""Fair sharing of an overloaded server among kinds of request.
 
-It answers a load of two kinds that lasts, of which one is let in by a rule of its own:
-calls of pages, which run as long as they can, against orders, which are refused if
-they would be late. Left to the order of the queue the first kind takes all.
+Handles sustained overload by two kinds of which one is admitted by a more lenient
+rule: calls for pages are admitted as long as they can run, while orders are refused
+if they would be late. With the order of the queue alone, the calls would take all
+of the capacity.
 """
 
 import math
 import zlib
 from dataclasses import dataclass, field
 
-__all__ = ["Shares"]
+__all__ = ["FairShares"]
 
-# Share of its requests by which a kind may be let in more often than one that is
-# at least as urgent.
+# Margin by which the admitted share of a kind may exceed that of a kind which is at
+# least as urgent.
 MARGIN = 0.05
-# Time over which requests are counted, and between two adjustments, seconds.
+# Time constant of the decaying counts, and the interval between two adjustments.
 WINDOW_SECONDS = 2.0
 STEP_SECONDS = 0.25
-FADING = math.exp(-STEP_SECONDS / WINDOW_SECONDS)
-# Factor by which a level changes at the most in a step.
-MOST_CHANGE = 1.2
-LEAST_LEVEL = 0.02
-# Requests that must have come for a kind to be compared with others.
-LEAST_ASKED = 4.0
-# Part of the requests that find a free slot above which there is room for all.
-ROOM_SHARE = 0.1
+DECAY_PER_STEP = math.exp(-STEP_SECONDS / WINDOW_SECONDS)
+# Largest factor by which the admitted fraction changes in one step.
+MAX_CHANGE_FACTOR = 1.2
+MIN_FRACTION = 0.02  # Lower bound of the admitted fraction.
+# Decayed number of requests below which a kind is not compared with others.
+MIN_REQUESTS = 4.0
+# Share of requests that find a free slot above which the server is not overloaded.
+MIN_FREE_SLOT_SHARE = 0.1
 
 
-class _Recent:
-    """Names that were met a short while ago."""
+class _RecentIds:
+    """Set of recently seen IDs."""
 
     def __init__(self):
         self._new, self._old = set(), set()
 
-    def add(self, name):
-        """Remember a name; return whether it was not known. No name is always new."""
-        if name in self._new or name in self._old:
+    def add(self, id):
+        """Add an ID and return whether it is new; the empty ID always is."""
+        if id in self._new or id in self._old:
             return False
-        if name:
-            self._new.add(name)
+        if id:
+            self._new.add(id)
         return True
 
-    def turn(self):
-        """Forget what was not met since the turn before."""
+    def rotate(self):
+        """Forget the IDs that were added before the previous rotation."""
         self._new, self._old = set(), self._new
 
 
 @dataclass(kw_only=True, slots=True)
 class _Kind:
-    """Faded counts of one kind, and the part of its requests that may come in."""
+    """Decaying counts of one kind and the fraction of its requests to admit."""
 
     urgency: int
-    asked: float = 0.0
+    requested: float = 0.0
     admitted: float = 0.0
-    level: float = 1.0
-    met: _Recent = field(default_factory=_Recent)
-    let_in: _Recent = field(default_factory=_Recent)
+    fraction: float = 1.0
+    requested_ids: _RecentIds = field(default_factory=_RecentIds)
+    admitted_ids: _RecentIds = field(default_factory=_RecentIds)
 
     @property
     def share(self):
-        return min(1.0, self.admitted / max(self.asked, LEAST_ASKED))
+        """Share of the requests of this kind that were admitted."""
+        return min(1.0, self.admitted / max(self.requested, MIN_REQUESTS))
 
 
-class Shares:
-    """Keeps kinds that are less urgent from being served much better.
+class FairShares:
+    """Keeps less urgent kinds from being admitted much more often than urgent ones.
 
     Parameters
     ----------
@@ -72,112 +74,118 @@
 
     Notes
     -----
-    Each kind has a level: requests whose draw lies above it are refused. It falls
-    while the kind is let in more often than one at least as urgent, and rises
-    while some find a free slot, so that no room stays unused. All calls of one
-    request have the same draw and count as one: a page that gets one of its calls
-    gets the others, and few are made for nothing. Callers who come back are
-    counted once: what matters to them is whether they are served in the end.
+    Each kind has an admitted fraction. A request that finds no free slot is refused
+    if the hash of its ID, scaled to the range from 0 to 1, is not below that fraction.
+    The fraction falls while the kind is admitted more often than one that is at least
+    as urgent, and rises while requests find free slots, so that no capacity stays
+    unused. All calls of one request have the same hash and count as one: a page for
+    which one call is admitted gets the others too, so that few calls are wasted.
+    Retries of one caller count once, because what matters to it is whether it is
+    served in the end.
 
     Examples
     --------
-    Pages are let in always, orders never, and no slot is free:
+    Pages are always admitted, orders never, and no slot is free:
 
     >>> now = 0.0
-    >>> shares = Shares(clock=lambda: now)
+    >>> shares = FairShares(clock=lambda: now)
     >>> for number in range(40):
     ...     now += 0.05
     ...     id = b"%d" % number
-    ...     _ = shares.admits("order", id, urgency=1, again=False, room=False)
-    ...     if shares.admits("page", id, urgency=2, again=False, room=False):
+    ...     _ = shares.admits("order", id, urgency=1, again=False, has_slot=False)
+    ...     if shares.admits("page", id, urgency=2, again=False, has_slot=False):
     ...         shares.note_admitted("page", id)
-    >>> shares.level("order"), shares.level("page") < 0.4
+    >>> shares.admitted_fraction("order"), shares.admitted_fraction("page") < 0.4
     (1.0, True)
     """
 
     def __init__(self, *, clock):
         self._clock = clock
         self._kinds = {}
-        self._stepped_at = self._turned_at = clock()
-        self._came = self._found_room = 0
+        self._stepped_at = self._rotated_at = clock()
+        self._arrived = self._found_slot = 0
 
-    def level(self, kind):
-        """Return the part of a kind's requests that may come in."""
+    def admitted_fraction(self, kind):
+        """Return the fraction of the requests of a kind that is to be admitted."""
         known = self._kinds.get(kind)
-        return known.level if known else 1.0
+        return known.fraction if known else 1.0
 
-    def admits(self, kind, id, *, urgency, again, room, last=True):
-        """Count a request that has come, and say whether it may come in.
+    def admits(self, kind, id, *, urgency, again, has_slot, last=True):
+        """Count a request that has arrived and return whether to admit it.
 
         Parameters
         ----------
         kind : str
-            Requests that are counted together.
+            Kind of request; requests of one kind are counted together.
         id : bytes
-            Names the request; for a call, the request that it is for.
+            Request ID; for a call, the ID of the request that it is part of.
         urgency : int
-            Rank of what callers asked for, the lowest is the most urgent.
+            Rank of the original request of the caller; the lowest is the most urgent.
         again : bool
-            Whether its caller has come back.
-        room : bool
-            Whether it finds a free slot.
+            Whether this is a retry.
+        has_slot : bool
+            Whether the request finds a free slot.
         last : bool
-            Whether its caller is told if it is refused here. What another server may
-            take does not count as asked for here, unless it comes in.
+            Whether a refusal is returned to the caller. A request that another server
+            may still take is counted here only if it is admitted.
         """
         self._step()
-        self._came += 1
-        self._found_room += room
+        self._arrived += 1
+        self._found_slot += has_slot
         known = self._kinds.get(kind)
         if known is None:
             known = self._kinds[kind] = _Kind(urgency=urgency)
         known.urgency = urgency
-        if last and known.met.add(id) and not again:
-            known.asked += 1
-        return room or known.level >= 1.0 or _draw(id) < known.level
+        if last and known.requested_ids.add(id) and not again:
+            known.requested += 1
+        return has_slot or known.fraction >= 1.0 or _hash_fraction(id) < known.fraction
 
     def note_admitted(self, kind, id, *, again=False):
-        """Count a request that has come in."""
+        """Count a request that was admitted."""
         known = self._kinds.get(kind)
-        if known is not None and known.let_in.add(id):
+        if known is not None and known.admitted_ids.add(id):
             known.admitted += 1
-            if known.met.add(id) and not again:
-                known.asked += 1
+            if known.requested_ids.add(id) and not again:
+                known.requested += 1
 
     def _step(self):
+        """Adjust the fractions and let the counts decay, if a step has passed."""
         now = self._clock()
         steps = int((now - self._stepped_at) / STEP_SECONDS)
         if not steps:
             return
         self._stepped_at = now
-        has_room = self._found_room > ROOM_SHARE * self._came
-        self._came = self._found_room = 0
-        levels = [self._level_after(kind, has_room) for kind in self._kinds.values()]
-        for kind, level in zip(self._kinds.values(), levels, strict=True):
-            kind.level = level
-            kind.asked *= FADING**steps
-            kind.admitted *= FADING**steps
-        if now - self._turned_at >= WINDOW_SECONDS:
-            self._turned_at = now
+        has_capacity = self._found_slot > MIN_FREE_SLOT_SHARE * self._arrived
+        self._arrived = self._found_slot = 0
+        fractions = [
+            self._next_fraction(kind, has_capacity) for kind in self._kinds.values()
+        ]
+        for kind, fraction in zip(self._kinds.values(), fractions, strict=True):
+            kind.fraction = fraction
+            kind.requested *= DECAY_PER_STEP**steps
+            kind.admitted *= DECAY_PER_STEP**steps
+        if now - self._rotated_at >= WINDOW_SECONDS:
+            self._rotated_at = now
             for kind in self._kinds.values():
-                kind.met.turn()
-                kind.let_in.turn()
+                kind.requested_ids.rotate()
+                kind.admitted_ids.rotate()
 
-    def _level_after(self, kind, has_room):
+    def _next_fraction(self, kind, has_capacity):
+        """Return the admitted fraction of a kind after the next step."""
         others = [
             other.share
             for other in self._kinds.values()
             if other is not kind
             and other.urgency <= kind.urgency
-            and other.asked >= LEAST_ASKED
+            and other.requested >= MIN_REQUESTS
         ]
-        change = MOST_CHANGE
-        if not has_room and others and kind.share > 0.0:
+        change = MAX_CHANGE_FACTOR
+        if not has_capacity and others and kind.share > 0.0:
             wanted = (min(others) + MARGIN) / kind.share
-            change = min(MOST_CHANGE, max(1 / MOST_CHANGE, wanted))
-        return min(1.0, max(LEAST_LEVEL, kind.level * change))
+            change = min(MAX_CHANGE_FACTOR, max(1 / MAX_CHANGE_FACTOR, wanted))
+        return min(1.0, max(MIN_FRACTION, kind.fraction * change))
 
 
-def _draw(id):
-    """Return a number from 0 to 1 that is the same for the same id everywhere."""
+def _hash_fraction(id):
+    """Return a number from 0 to 1 that is the same for an ID on all hosts."""
     return zlib.crc32(id) / (1 << 32)
--- a/guavastream/relay/tests/tandem.py
+++ b/guavastream/relay/tests/tandem.py
@@ -6,7 +6,7 @@
 
 from guavastream.emulator import run_paused
 from guavastream.fleet import Instance
-from guavastream.relay import Gate, NotRun, Picker, Report
+from guavastream.relay import AdmissionQueue, NotRun, Picker, Report
 
 __all__ = ["Kind", "Tandem"]
 
@@ -59,7 +59,7 @@
 class Tandem:
     """Callers, services and servers; `run` returns the counts of each kind."""
 
-    def __init__(self, *, kinds, servers, queue=Gate, seconds=20.0, seed=1):
+    def __init__(self, *, kinds, servers, queue=AdmissionQueue, seconds=20.0, seed=1):
         self.kinds, self.seconds = kinds, seconds
         self.rng = random.Random(seed)
         self.counts = {kind.name: Counts() for kind in kinds}
@@ -173,7 +173,7 @@
                 waiting=gate.waiting,
                 slots=gate.slots,
                 seconds=gate.seconds,
-                of_kind=gate.measured(kind.name),
+                of_kind=gate.mean_seconds_for(kind.name),
             )
             self.picker.note_report(chosen, report, kind=kind.name)
 
--- a/guavastream/relay/tests/test_admission.py
+++ b/guavastream/relay/tests/test_admission.py
@@ -1,10 +1,10 @@
-"""The gate under load, played in simulated time against a plain queue."""
+"""Tests of the admission queue under load, in simulated time."""
 
 import asyncio
 import random
 
 from guavastream.emulator import run_paused
-from guavastream.relay import Gate, NotRun
+from guavastream.relay import AdmissionQueue, NotRun
 
 SLOTS = 8
 WORK = 0.16
@@ -13,7 +13,7 @@
 
 
 class PlainQueue:
-    """Takes everybody in, first come first served, until the deadline."""
+    """Admits all requests in order of arrival until their deadline, for comparison."""
 
     running = waiting = seconds = 0
 
@@ -21,7 +21,7 @@
         self.slots = slots
         self._slots = asyncio.Semaphore(slots)
 
-    def measured(self, kind):
+    def mean_seconds_for(self, kind):
         return 0.0
 
     async def enter(self, *, deadline, **unused):
@@ -32,16 +32,16 @@
         except TimeoutError:
             raise NotRun("overloaded") from None
 
-    def leave(self, usual, *, kind, seconds=None):
+    def leave(self, estimate, *, kind, seconds=None):
         self._slots.release()
 
 
 class Load:
-    """Requests at a rate; counts what callers get within their target."""
+    """Sends requests at a given rate and counts how many are answered on time."""
 
-    def __init__(self, gate_class, *, rate, seconds=20.0, ranks=(1,), seed=1):
+    def __init__(self, queue_class, *, rate, seconds=20.0, ranks=(1,), seed=1):
         self.rate, self.seconds, self.ranks = rate, seconds, ranks
-        self.gate_class = gate_class
+        self.queue_class = queue_class
         self.rng = random.Random(seed)
         self.in_time = dict.fromkeys(ranks, 0)
         self.late = self.refused = self.asked = 0
@@ -53,21 +53,21 @@
 
     async def _run(self):
         loop = asyncio.get_running_loop()
-        gate = self.gate_class(loop=loop, slots=SLOTS)
+        queue = self.queue_class(loop=loop, slots=SLOTS)
         tasks = []
         while loop.time() < self.seconds:
             await asyncio.sleep(self.rng.expovariate(self.rate))
             rank = self.rng.choice(self.ranks)
-            tasks.append(asyncio.ensure_future(self._ask(gate, rank)))
+            tasks.append(asyncio.ensure_future(self._ask(queue, rank)))
         await asyncio.gather(*tasks)
 
-    async def _ask(self, gate, rank):
+    async def _ask(self, queue, rank):
         loop = asyncio.get_running_loop()
         began = loop.time()
         self.asked += 1
         kind = f"k{rank}"
         try:
-            usual = await gate.enter(
+            estimate = await queue.enter(
                 rank=rank,
                 kind=kind,
                 wanted_by=began + TARGET,
@@ -79,7 +79,7 @@
             return
         started = loop.time()
         await asyncio.sleep(self.rng.lognormvariate(0, 0.3) * WORK)
-        gate.leave(usual, kind=kind, seconds=loop.time() - started)
+        queue.leave(estimate, kind=kind, seconds=loop.time() - started)
         if loop.time() - began <= TARGET:
             self.in_time[rank] += 1
         else:
@@ -90,67 +90,70 @@
         return sum(self.in_time.values()) / self.asked
 
 
-def test_a_calm_load_is_served_without_refusals():
-    load = Load(Gate, rate=0.6 * SLOTS / WORK).run()
+def test_no_requests_are_refused_without_overload():
+    load = Load(AdmissionQueue, rate=0.6 * SLOTS / WORK).run()
     assert load.refused == 0 and load.share > 0.99
 
 
-def test_under_overload_those_let_in_are_in_time():
-    # Twice as many requests as the server can do. A plain queue fills until
-    # nearly all answers come late; callers see a slow page each time.
+def test_admitted_requests_are_on_time_under_overload():
+    # With twice as many requests as the server can serve, a plain queue grows until
+    # nearly all answers are late and callers see slow pages.
     rate = 2 * SLOTS / WORK
-    plain, gate = Load(PlainQueue, rate=rate).run(), Load(Gate, rate=rate).run()
+    plain, limited = (
+        Load(PlainQueue, rate=rate).run(),
+        Load(AdmissionQueue, rate=rate).run(),
+    )
     assert plain.share < 0.1
-    assert gate.share > 0.4
-    assert gate.late < 0.15 * sum(gate.in_time.values())
+    assert limited.share > 0.4
+    assert limited.late < 0.15 * sum(limited.in_time.values())
 
 
-def test_refusals_come_at_once():
-    load = Load(Gate, rate=2 * SLOTS / WORK).run()
+def test_refused_requests_hardly_wait():
+    load = Load(AdmissionQueue, rate=2 * SLOTS / WORK).run()
     waits = sorted(load.waits_of_refused)
     assert waits[len(waits) * 9 // 10] < TARGET / 8
 
 
-def test_the_more_urgent_are_served_first_and_the_others_not_starved_of_room():
-    load = Load(Gate, rate=1.5 * SLOTS / WORK, ranks=(0, 3)).run()
+def test_urgent_requests_are_preferred_without_starving_others():
+    load = Load(AdmissionQueue, rate=1.5 * SLOTS / WORK, ranks=(0, 3)).run()
     asked = load.asked / 2
     assert load.in_time[0] / asked > 0.85
     assert load.in_time[3] / asked > 0.2
 
 
-def test_a_caller_that_leaves_the_queue_frees_its_place():
+def test_a_cancelled_request_leaves_the_queue_and_no_slot_is_lost():
     async def main():
         loop = asyncio.get_running_loop()
-        gate = Gate(loop=loop, slots=1)
+        queue = AdmissionQueue(loop=loop, slots=1)
         times = {"kind": "k", "wanted_by": 1.0, "deadline": 2.0}
-        usual = await gate.enter(rank=0, **times)
-        waiting = asyncio.ensure_future(gate.enter(rank=0, **times))
+        estimate = await queue.enter(rank=0, **times)
+        waiting = asyncio.ensure_future(queue.enter(rank=0, **times))
         await asyncio.sleep(0.01)
-        assert gate.waiting == 1
+        assert queue.waiting == 1
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
-        assert gate.waiting == 0
-        gate.leave(usual, kind="k", seconds=0.1)
-        assert gate.running == 0
-        await gate.enter(rank=0, **times)
+        assert queue.waiting == 0
+        queue.leave(estimate, kind="k", seconds=0.1)
+        assert queue.running == 0
+        await queue.enter(rank=0, **times)
 
     run_paused(main())
 
 
-def test_a_server_that_went_dark_refuses_at_once_instead_of_holding():
-    # It takes what is sent and answers nothing. Its slots stay busy until
-    # their callers give up; a new caller would only wait behind them.
+def test_requests_to_an_unresponsive_server_are_refused_at_once():
+    # A server that accepts requests and never answers keeps its slots occupied until
+    # the callers give up. A new request would wait behind them in vain.
     async def main():
         loop = asyncio.get_running_loop()
-        gate = Gate(loop=loop, slots=2)
+        queue = AdmissionQueue(loop=loop, slots=2)
 
         async def enter():
             now = loop.time()
             times = {"wanted_by": now + TARGET, "deadline": now + DEADLINE}
-            return await gate.enter(rank=0, kind="k", **times)
+            return await queue.enter(rank=0, kind="k", **times)
 
-        usual = await enter()
-        gate.leave(usual, kind="k", seconds=WORK)
+        estimate = await enter()
+        queue.leave(estimate, kind="k", seconds=WORK)
         await enter()
         await enter()
         await asyncio.sleep(3 * WORK)
@@ -158,41 +161,42 @@
         try:
             await enter()
         except NotRun:
-            assert loop.time() == began and gate.seconds > 2 * WORK
+            assert loop.time() == began and queue.seconds > 2 * WORK
         else:
-            raise AssertionError("waits behind a server that is dark")
+            raise AssertionError("request was queued for an unresponsive server")
 
     run_paused(main())
 
 
-async def fill(gate, loop, *, count=SLOTS):
-    """Take all slots with requests of a known usual time."""
+async def occupy_slots(queue, loop, *, count=SLOTS):
+    """Occupy `count` slots with requests whose estimated time is known."""
     now = loop.time()
     times = {"wanted_by": now + TARGET, "deadline": now + DEADLINE}
-    usual = await gate.enter(rank=0, kind="k", **times)
-    gate.leave(usual, kind="k", seconds=WORK)
-    return [await gate.enter(rank=0, kind="k", **times) for _ in range(count)]
+    estimate = await queue.enter(rank=0, kind="k", **times)
+    queue.leave(estimate, kind="k", seconds=WORK)
+    return [await queue.enter(rank=0, kind="k", **times) for _ in range(count)]
 
 
-async def refusal_of(gate, *, wanted_by, deadline):
+async def refusal_of(queue, *, wanted_by, deadline):
+    """Return the refusal of a request, None if it was admitted."""
     try:
-        await gate.enter(rank=0, kind="k", wanted_by=wanted_by, deadline=deadline)
+        await queue.enter(rank=0, kind="k", wanted_by=wanted_by, deadline=deadline)
     except NotRun as refused:
         return refused
     return None
 
 
-def test_a_late_request_waits_behind_those_that_can_be_in_time():
-    # It came back after a refusal and is late whatever happens. Sorted by the
-    # time it was wanted by it would go first, and make another one late.
+def test_a_late_request_waits_behind_those_that_can_be_on_time():
+    # A retry that can't meet its target any more has the earliest target time. In
+    # that order it would be served first and make another request late too.
     async def main():
         loop = asyncio.get_running_loop()
-        gate = Gate(loop=loop, slots=SLOTS)
-        usual = (await fill(gate, loop))[0]
+        queue = AdmissionQueue(loop=loop, slots=SLOTS)
+        estimate = (await occupy_slots(queue, loop))[0]
         now, served = loop.time(), []
 
         async def enter(name, wanted_by):
-            await gate.enter(
+            await queue.enter(
                 rank=0, kind="k", wanted_by=wanted_by, deadline=now + DEADLINE
             )
             served.append(name)
@@ -202,7 +206,7 @@
         fresh = asyncio.ensure_future(enter("fresh", now + TARGET))
         await asyncio.sleep(0.001)
         for _ in range(2):
-            gate.leave(usual, kind="k", seconds=WORK)
+            queue.leave(estimate, kind="k", seconds=WORK)
             await asyncio.sleep(0.001)
         await asyncio.gather(late, fresh)
         assert served == ["fresh", "late"]
@@ -210,21 +214,21 @@
     run_paused(main())
 
 
-def test_advice_to_come_back_is_soon_only_where_that_is_in_time():
-    # Callers come back once or twice. One that cannot be in time any more
-    # would spend that within 0.2 s on a load that lasts a second.
+def test_a_quick_retry_is_advised_only_if_it_can_be_on_time():
+    # Callers retry once or twice. A caller whose request is late anyway would use up
+    # these retries within 0.2 s during an overload that lasts a second.
     async def main():
         loop = asyncio.get_running_loop()
-        gate = Gate(loop=loop, slots=1)
-        await fill(gate, loop, count=1)
+        queue = AdmissionQueue(loop=loop, slots=1)
+        await occupy_slots(queue, loop, count=1)
         for _ in range(2):
             asyncio.ensure_future(
-                refusal_of(gate, wanted_by=loop.time() + TARGET, deadline=DEADLINE)
+                refusal_of(queue, wanted_by=loop.time() + TARGET, deadline=DEADLINE)
             )
         await asyncio.sleep(0.001)
         now = loop.time()
-        soon = await refusal_of(gate, wanted_by=now + 0.35, deadline=now + DEADLINE)
-        later = await refusal_of(gate, wanted_by=now + 0.1, deadline=now + 0.9)
+        soon = await refusal_of(queue, wanted_by=now + 0.35, deadline=now + DEADLINE)
+        later = await refusal_of(queue, wanted_by=now + 0.1, deadline=now + 0.9)
         assert loop.time() == now
         assert soon.retry_after <= 0.15
         assert 0.2 < later.retry_after <= 0.9 / 3
@@ -232,18 +236,19 @@
     run_paused(main())
 
 
-def test_calls_are_let_in_as_long_as_they_can_run():
-    # A server waits for the answer: refused, the work it has done is wasted.
+def test_calls_are_admitted_as_long_as_they_can_run():
+    # Another server waits for the answer. If the call is refused, the work that it
+    # has done so far is wasted.
     async def main():
         loop = asyncio.get_running_loop()
-        gate = Gate(loop=loop, slots=1)
-        usual = (await fill(gate, loop, count=1))[0]
+        queue = AdmissionQueue(loop=loop, slots=1)
+        estimate = (await occupy_slots(queue, loop, count=1))[0]
         now = loop.time()
         times = {"wanted_by": now + 1.5 * WORK, "deadline": now + 0.4}
-        assert await refusal_of(gate, **times) is not None and loop.time() == now
-        call = asyncio.ensure_future(gate.enter(rank=0, kind="k", call=True, **times))
+        assert await refusal_of(queue, **times) is not None and loop.time() == now
+        call = asyncio.ensure_future(queue.enter(rank=0, kind="k", call=True, **times))
         await asyncio.sleep(WORK)
-        gate.leave(usual, kind="k", seconds=WORK)
+        queue.leave(estimate, kind="k", seconds=WORK)
         await call
         assert loop.time() - now < 0.4
 
--- a/guavastream/relay/turns.py
+++ b/guavastream/relay/turns.py
@@ -1,59 +1,59 @@
-"""One at a time, and whoever came last goes first."""
+"""A lock that is granted to the newest waiter first."""
 
 import asyncio
 
 from guavastream.kernel import TimeLimit
 
-__all__ = ["Turns"]
+__all__ = ["LifoLock"]
 
 
-class Turns:
-    """Lets requests run one after the other.
+class LifoLock:
+    """A mutual exclusion lock for requests, granted to the newest waiter first.
 
-    The newest has the most time left. In the order of their arrival each would get
-    its turn when most of its time is over, be cut off in the middle of its work, and
-    the next one with it, for as long as the queue stands.
+    The newest waiter has the most time left. In order of arrival, each request of a
+    standing queue would get the lock with most of its time used up and be cut off
+    while it runs, and so would the next one.
 
     Parameters
     ----------
     loop : asyncio.AbstractEventLoop
-        The running loop; its time is the clock.
+        The running loop, whose time is used as the clock.
     """
 
     def __init__(self, *, loop):
         self._loop = loop
-        self._taken = False
-        self._waiting = []
+        self._locked = False
+        self._waiters = []
 
-    async def take(self, *, until):
-        """Wait for a turn, which `give_back` ends.
+    async def acquire(self, *, until):
+        """Wait for the lock; the holder calls `release`.
 
         Raises
         ------
         TimeoutError
-            If none came by the clock's time `until`.
+            If it was not granted by the loop time `until`.
         """
-        if not self._taken:
-            self._taken = True
+        if not self._locked:
+            self._locked = True
             return
-        turn = self._loop.create_future()
-        self._waiting.append(turn)
+        waiter = self._loop.create_future()
+        self._waiters.append(waiter)
         try:
             with TimeLimit(loop=self._loop, when=until):
-                await turn
+                await waiter
         except (TimeoutError, asyncio.CancelledError):
-            if turn in self._waiting:
-                self._waiting.remove(turn)
-            elif turn.done() and not turn.cancelled():
-                # It came just when the request stopped waiting.
-                self.give_back()
+            if waiter in self._waiters:
+                self._waiters.remove(waiter)
+            elif waiter.done() and not waiter.cancelled():
+                # Granted just as the request stopped waiting.
+                self.release()
             raise
 
-    def give_back(self):
-        """End a turn, and begin that of the newest that waits."""
-        while self._waiting:
-            turn = self._waiting.pop()
-            if not turn.done():
-                turn.set_result(None)
+    def release(self):
+        """Release the lock and grant it to the newest waiter, if there is one."""
+        while self._waiters:
+            waiter = self._waiters.pop()
+            if not waiter.done():
+                waiter.set_result(None)
                 return
-        self._taken = False
+        self._locked = False
