--- a/guavastream/control/fleet.py
+++ b/guavastream/control/fleet.py
@@ -51,13 +51,13 @@
     ----------
     raft : Raft
         This voter.
-    machine : TableMachine
+    machine : TableStateMachine
         The replicated state.
     granter : Granter
         Answers heartbeats while this voter leads.
     voters : VoterKeeper
         Adds new voters while this voter leads.
-    suspects : SuspectKeeper
+    suspects : SuspectManager
         Maintains the suspect requests while this voter leads.
     losses : int
         Number of disks that may be lost at once. A change is accepted only if it is
@@ -94,26 +94,26 @@
         self._require_leadership()
         self._granter.ensure_term()
         if isinstance(request, Beat):
-            return await self._granter.beat(request)
+            return await self._granter.answer_heartbeat(request)
         if isinstance(request, RenewKeys):
             return await self._granter.renew(request)
         if isinstance(request, ReturnKeys):
-            await self._granter.take_back(request)
+            await self._granter.release_keys(request)
             return request
         if isinstance(request, Depart):
-            await self._granter.depart(request.id)
+            await self._granter.mark_leaving(request.id)
             return request
         if isinstance(request, ReportEnd):
-            await self._granter.end(request)
+            await self._granter.remove_ended(request)
             return request
         if isinstance(request, ReportAnswered):
-            await self._suspects.note_answered(request)
+            await self._suspects.clear_answered(request)
             return request
         if isinstance(request, LiftSuspects):
             await self._suspects.lift(request.requests)
             return request
         if isinstance(request, LoadReport):
-            self._granter.note_load(request)
+            self._granter.record_load(request)
             return request
         if isinstance(request, ReadRoutes):
             return self._watches.split_answer(
--- a/guavastream/control/grants.py
+++ b/guavastream/control/grants.py
@@ -1,9 +1,9 @@
-"""The leader's part in who holds which keys: answers to heartbeats, and plans."""
+"""Decisions of the leader about key ranges: grants, renewals of holds, moves."""
 
 import asyncio
 from heapq import nlargest
 
-from guavastream.control.holds import Holds, Move
+from guavastream.control.holds import HoldTracker, KeyMove
 from guavastream.control.loads import KeyLoads, Loads
 from guavastream.exception import NotLeader
 from guavastream.fleet import (
@@ -22,51 +22,56 @@
 )
 from guavastream.kernel import Policy, Signal, TimeLimit, part_logger, replace
 from guavastream.leases import HoldTiming
-from guavastream.placement import RunView, plan_runs
+from guavastream.placement import KeyRangeView, plan_key_ranges
 from guavastream.routes import Granting
 
-__all__ = ["Granter"]
-
-TICK_SECONDS = 0.05
-# Plans of balance are made this often; a load report comes about as often.
-BALANCE_SECONDS = 0.25
-# Request rate assumed of a slot before anything was measured, per second.
-SLOT_RATE = 8.0
-# A server that says it is cold works at about half its speed.
-COLD_SHARE = 0.5
-# A move waits this long for a moment at which both its ends can be told.
-PATIENCE_SECONDS = 1.0
-# Time that the old owner needs to release: its next heartbeat comes within
-# 0.1 s, and what runs there takes a while.
+__all__ = ["GrantManager"]
+
+TICK_INTERVAL_SECONDS = 0.05
+# Interval between balancing plans, about that of the load reports.
+BALANCE_INTERVAL_SECONDS = 0.25
+# Requests per second assumed for a slot before any latency has been reported.
+DEFAULT_SLOT_RATE = 8.0
+# A server that reports itself as cold works at about half its speed.
+COLD_CAPACITY_FACTOR = 0.5
+# A move waits this long for a moment at which both the source and the target have
+# a heartbeat waiting for an answer; after that the source alone is enough, and
+# after twice this long the move starts regardless.
+MAX_MOVE_DELAY_SECONDS = 1.0
+# Time that the source needs to release a range: its next heartbeat follows within
+# 0.1 s, and its requests in progress take a while.
 HANDOVER_SECONDS = 0.2
-# Patience with a source that does not release a row after it was told.
-MOVE_SECONDS = 6.0
+# A move is given up if its source has not been told to release the range by then.
+MOVE_TIMEOUT_SECONDS = 6.0
 
-# Busiest keys, and moves, that a line about a plan tells.
-LOGGED_KEYS = 5
-LOGGED_MOVES = 8
+# Maximum numbers of busiest keys and of moves in a log line.
+MAX_LOGGED_KEYS = 5
+MAX_LOGGED_MOVES = 8
 UNKNOWN = Granting.UNKNOWN
 
 log = part_logger("grants")
 
 
-class Granter:
-    """Decides who holds which keys while this control host leads.
+class GrantManager:
+    """Decides which server holds which keys while this control host leads.
+
+    A server holds key ranges under a lease, its hold, which the answers to its
+    heartbeats renew.
 
     Parameters
     ----------
     raft : Raft
         Commits the decisions.
-    machine : TableMachine
-        Keeps the book.
+    machine : TableStateMachine
+        Keeps the replicated state: servers, key ranges and configuration.
     clock : callable
-        Steady time in seconds, suspensions included.
+        Monotonic time in seconds, including time while suspended.
     timing : HoldTiming
-        Times of holds.
+        Durations of holds.
     granting : Granting
-        How servers are granted keys where the configuration does not say.
+        How servers are granted keys if the configuration does not specify it.
     policy : Policy, optional
-        Mechanisms that are in force.
+        Enabled mechanisms.
     """
 
     def __init__(
@@ -86,135 +91,136 @@
         self._loop = asyncio.get_running_loop()
         self._timing = timing or HoldTiming()
         self._granting = granting
-        self._holds = Holds(clock=clock, timing=self._timing)
+        self._holds = HoldTracker(clock=clock, timing=self._timing)
         self._term = 0
-        self._newest = {}
-        self._events = {}
-        self._parked = {}
+        self._latest = {}
+        self._wakeups = {}
+        self._waiting_until = {}
         self._moves = []
         self._loads = {}
         self._latency = {}
-        self._cold = {}
-        self._joined = {}
-        self._balanced = 0.0
+        self._cold_until = {}
+        self._joined_at = {}
+        self._balanced_at = 0.0
         self._removing = set()
 
     @property
-    def _book(self):
+    def _state(self):
+        """The replicated state after the last applied command."""
         return self._machine.table
 
     def ensure_term(self):
-        """Begin a new term of this leader, if there is one."""
+        """Reset the leader's state if a new term of this leader has started."""
         if self._term == self._raft.term:
             return
         self._term = self._raft.term
-        self._holds.start(self._book.instances, since=self._raft.predecessor_end)
-        self._newest = {}
-        self._parked = {}
+        self._holds.start_term(self._state.instances, since=self._raft.predecessor_end)
+        self._latest = {}
+        self._waiting_until = {}
         self._moves = []
-        self._joined = {}
+        self._joined_at = {}
         self._removing = set()
 
-    # Each server is spoken for by its heartbeats, and by the renewals of the
-    # process beside it; both may come late and out of order.
+    # The latest message of each type by server: heartbeats, and renewal requests of
+    # the sidecar. Both may arrive late and out of order.
 
-    def _newest_like(self, said):
-        return self._newest.get((type(said), said.id))
+    def _latest_like(self, message):
+        return self._latest.get((type(message), message.id))
 
-    def _note_newest(self, said):
-        self._newest[type(said), said.id] = said
+    def _set_latest(self, message):
+        self._latest[type(message), message.id] = message
 
-    def _is_newest(self, said):
-        return self._newest_like(said) is said
+    def _is_latest(self, message):
+        return self._latest_like(message) is message
 
     # Heartbeats
 
-    async def beat(self, beat):
-        """Answer a heartbeat; nothing is granted that is not committed.
+    async def answer_heartbeat(self, heartbeat):
+        """Answer a heartbeat, with committed grants only.
 
         Raises
         ------
         NotLeader
-            If this control host does not lead, or no longer.
+            If this control host is not the leader, or stops being it.
         """
         arrived = self._clock()
         self.ensure_term()
-        newest = self._newest_like(beat)
-        if newest is not None and beat.seq < newest.seq:
-            return Beaten(index=self._book.index)
-        self._note_newest(beat)
-        new = beat.id not in self._book.instances
-        if not await self._take(beat):
-            return Beaten(index=self._book.index, gone=True)
-        self._holds.hear(beat.id)
-        self._cold[beat.id] = arrived + beat.cold
-        rules = self._book.config.services.get(beat.service)
-        if rules is None or not rules.keyed:
-            return Beaten(index=self._book.index)
-        if self._granting_of(beat.service) is not Granting.HEARTBEAT:
-            return Beaten(index=self._book.index, new=new)
-        await self._wait_for_news(beat, arrived)
+        latest = self._latest_like(heartbeat)
+        if latest is not None and heartbeat.seq < latest.seq:
+            return Beaten(index=self._state.index)
+        self._set_latest(heartbeat)
+        is_new = heartbeat.id not in self._state.instances
+        if not await self._update_server(heartbeat):
+            return Beaten(index=self._state.index, gone=True)
+        self._holds.record_heartbeat(heartbeat.id)
+        self._cold_until[heartbeat.id] = arrived + heartbeat.cold
+        service = self._state.config.services.get(heartbeat.service)
+        if service is None or not service.keyed:
+            return Beaten(index=self._state.index)
+        if self._granting_mode(heartbeat.service) is not Granting.HEARTBEAT:
+            return Beaten(index=self._state.index, new=is_new)
+        await self._wait_for_change(heartbeat, arrived)
         self._require_lead()
-        if not self._is_newest(beat) or beat.id in self._removing:
-            return Beaten(index=self._book.index)
-        return self._answer(beat, arrived)
+        if not self._is_latest(heartbeat) or heartbeat.id in self._removing:
+            return Beaten(index=self._state.index)
+        return self._renewal(heartbeat, arrived)
 
-    def _granting_of(self, service):
-        rules = self._book.config.services.get(service)
-        return rules and rules.granting or self._granting
+    def _granting_mode(self, name):
+        service = self._state.config.services.get(name)
+        return service and service.granting or self._granting
 
-    # Calls of processes that carry grants out
+    # Calls of sidecars that grant keys to their servers
 
     async def renew(self, request):
-        """Say what a server may hold, to the process that grants it.
+        """Tell a sidecar which key ranges its server may hold.
 
         Raises
         ------
         NotLeader
-            If this control host does not lead, or no longer.
+            If this control host is not the leader, or stops being it.
         """
         arrived = self._clock()
         self.ensure_term()
-        nothing = Beaten(index=self._book.index)
-        if request.id not in self._book.instances:
-            return replace(nothing, gone=request.id in self._book.gone)
-        if self._granting_of(request.service) is not Granting.CALL:
-            return nothing
-        newest = self._newest_like(request)
-        if newest is not None and newest.asker == request.asker:
-            if request.seq < newest.seq:
-                return nothing
-        self._note_newest(request)
-        await self._wait_for_news(request, arrived)
+        no_change = Beaten(index=self._state.index)
+        if request.id not in self._state.instances:
+            return replace(no_change, gone=request.id in self._state.gone)
+        if self._granting_mode(request.service) is not Granting.CALL:
+            return no_change
+        latest = self._latest_like(request)
+        if latest is not None and latest.asker == request.asker:
+            if request.seq < latest.seq:
+                return no_change
+        self._set_latest(request)
+        await self._wait_for_change(request, arrived)
         self._require_lead()
-        if not self._is_newest(request) or request.id in self._removing:
-            return nothing
-        if request.id not in self._book.instances:
-            return nothing
-        drops = self._drops(request)
-        return replace(self._answer(request, arrived), drops=drops)
-
-    def _drops(self, request):
-        """Return the rows that a server still has and is to release."""
-        drops = []
-        for run in self._book.rows_of(request.id, request.service):
-            staying = self._staying(run)
-            going = [(run.first, run.last)]
-            for row in staying:
-                going = rows_without(going, row)
-            drops += [(first, last, run.fence) for first, last in going]
-        return tuple(drops)
-
-    async def take_back(self, request):
-        """Free rows that a server has released, and grant them on.
+        if not self._is_latest(request) or request.id in self._removing:
+            return no_change
+        if request.id not in self._state.instances:
+            return no_change
+        drops = self._ranges_to_release(request)
+        return replace(self._renewal(request, arrived), drops=drops)
+
+    def _ranges_to_release(self, request):
+        """Return the ranges that a server still owns but must release."""
+        to_release = []
+        for run in self._state.rows_of(request.id, request.service):
+            to_keep = self._parts_to_keep(run)
+            remaining = [(run.first, run.last)]
+            for key_range in to_keep:
+                remaining = rows_without(remaining, key_range)
+            to_release += [(first, last, run.fence) for first, last in remaining]
+        return tuple(to_release)
+
+    async def release_keys(self, request):
+        """Free the ranges that a server has released, and grant them again.
 
         Raises
         ------
         NotLeader
-            If this control host does not lead, or no longer.
+            If this control host is not the leader, or stops being it.
         """
         self.ensure_term()
-        runs = self._book.runs_of(request.service)
+        runs = self._state.runs_of(request.service)
         rows = [
             row
             for row in request.rows
@@ -232,151 +238,178 @@
             fences=tuple(row[2] for row in rows),
         )
         await self._propose(command)
-        await self._plan(request.service)
+        await self._plan_service(request.service)
 
-    async def _take(self, beat):
-        """Bring the book in step with what a server says of itself."""
-        book = self._book
-        if beat.id in book.gone:
+    async def _update_server(self, heartbeat):
+        """Commit what a heartbeat changes; return False if the server is gone."""
+        state = self._state
+        if heartbeat.id in state.gone:
             return False
-        known = book.instances.get(beat.id)
-        if known is None and not self._is_configured(beat.service):
+        known = state.instances.get(heartbeat.id)
+        if known is None and not self._accepts_service(heartbeat.service):
             return False
-        said = (beat.service, beat.door, beat.address, beat.slots)
-        if known is None or said != (
+        announced = (
+            heartbeat.service,
+            heartbeat.door,
+            heartbeat.address,
+            heartbeat.slots,
+        )
+        if known is None or announced != (
             known.service,
             known.door,
             known.address,
             known.slots,
         ):
-            if not await self._propose(_joining(beat)):
+            if not await self._propose(_join_command(heartbeat)):
                 return False
-            log.info("Server %s of %s joined at %s.", beat.id, beat.service, beat.door)
-            self._joined.setdefault(beat.service, self._clock())
-        if beat.leaving and not self._book.instances[beat.id].leaving:
-            await self._propose(LeaveInstance(id=beat.id))
-            log.info("Server %s leaves.", beat.id)
-        await self._take_released(beat)
+            log.info(
+                "Server %s of %s joined at %s.",
+                heartbeat.id,
+                heartbeat.service,
+                heartbeat.door,
+            )
+            self._joined_at.setdefault(heartbeat.service, self._clock())
+        if heartbeat.leaving and not self._state.instances[heartbeat.id].leaving:
+            await self._propose(LeaveInstance(id=heartbeat.id))
+            log.info("Server %s is leaving.", heartbeat.id)
+        await self._release_reported(heartbeat)
         return True
 
-    def _is_configured(self, service):
-        """Whether a service may have servers.
+    def _accepts_service(self, service):
+        """Whether servers of a service may join.
 
-        A heartbeat that names another one is of a writer that is not ours. It
-        would push the server out whose address it gives.
+        A heartbeat for an unconfigured service comes from outside this
+        deployment. Its server would replace the one that is registered under the
+        same address.
         """
-        config = self._book.config
+        config = self._state.config
         return not config.version or service in config.services
 
-    async def _take_released(self, beat):
-        runs = self._book.runs_of(beat.service)
+    async def _release_reported(self, heartbeat):
+        """Free the ranges that a heartbeat reports as released."""
+        runs = self._state.runs_of(heartbeat.service)
         rows = tuple(
             row
-            for row in beat.released
-            if any(run.owner == beat.id for run in runs_within(runs, row[0], row[1]))
+            for row in heartbeat.released
+            if any(
+                run.owner == heartbeat.id for run in runs_within(runs, row[0], row[1])
+            )
         )
         if not rows:
             return
         command = ReleaseKeys(
-            service=beat.service, owner=beat.id, rows=rows, seq=beat.seq
+            service=heartbeat.service, owner=heartbeat.id, rows=rows, seq=heartbeat.seq
         )
         await self._propose(command)
-        # Grant it in the same breath: each wait here is time without an owner.
-        await self._plan(beat.service)
-
-    async def _wait_for_news(self, beat, arrived):
-        """Hold the answer back while there is nothing new to say."""
-        event = self._events.setdefault(beat.id, Signal(loop=self._loop))
-        self._parked[beat.id] = arrived + beat.wait
-        while self._is_newest(beat) and not self._has_news(beat):
+        # Grant the ranges again at once: until then they have no owner.
+        await self._plan_service(heartbeat.service)
+
+    async def _wait_for_change(self, message, arrived):
+        """Wait until the answer changes, at most as long as the message allows."""
+        wakeup = self._wakeups.setdefault(message.id, Signal(loop=self._loop))
+        self._waiting_until[message.id] = arrived + message.wait
+        while self._is_latest(message) and not self._has_change(message):
             self._require_lead()
-            left = arrived + beat.wait - self._clock()
-            if left <= 0:
+            remaining = arrived + message.wait - self._clock()
+            if remaining <= 0:
                 return
-            event.clear()
+            wakeup.clear()
             try:
-                with TimeLimit.within(left, loop=self._loop):
-                    await event.wait()
+                with TimeLimit.within(remaining, loop=self._loop):
+                    await wakeup.wait()
             except TimeoutError:
                 return
 
-    def _is_parked(self, id, seconds):
-        """Whether a heartbeat of a server waits here for `seconds` more."""
-        return self._parked.get(id, 0.0) - self._clock() >= seconds
+    def _is_waiting(self, id, seconds):
+        """Whether a server's message waits for an answer for `seconds` more."""
+        return self._waiting_until.get(id, 0.0) - self._clock() >= seconds
 
     def _activate_moves(self):
-        """Begin moves whose both ends can be told at once.
+        """Start the moves whose source and target can both be told at once.
 
-        A key is without an owner from the answer to the old one until the
-        answer to the new one; with both heartbeats at hand that is short.
+        A key has no owner between the answer to its old owner and the answer to
+        its new owner. This time is short if the heartbeats of both are waiting.
         """
         now = self._clock()
         for move in self._moves:
-            if move.active:
+            if move.is_active:
                 continue
-            waited = now - move.began
-            source = self._book.instances.get(move.source)
-            ready = self._is_parked(move.source, 0.0) and (
-                waited > PATIENCE_SECONDS
-                or self._is_parked(move.target, HANDOVER_SECONDS)
+            waited = now - move.started_at
+            source = self._state.instances.get(move.source)
+            ready = self._is_waiting(move.source, 0.0) and (
+                waited > MAX_MOVE_DELAY_SECONDS
+                or self._is_waiting(move.target, HANDOVER_SECONDS)
             )
             if (
                 ready
                 or source is None
                 or source.leaving
-                or waited > 2 * PATIENCE_SECONDS
+                or waited > 2 * MAX_MOVE_DELAY_SECONDS
             ):
-                move.active = True
+                move.is_active = True
                 self._notify((move.source,))
 
-    def _has_news(self, beat):
-        if set(beat.holds) != {row[:3] for row in self._rows(beat)}:
+    def _has_change(self, message):
+        if set(message.holds) != {row[:3] for row in self._ranges_to_hold(message)}:
             return True
-        if isinstance(beat, RenewKeys):
-            return set(beat.drops) != set(self._drops(beat))
-        return bool(beat.released)
+        if isinstance(message, RenewKeys):
+            return set(message.drops) != set(self._ranges_to_release(message))
+        return bool(message.released)
 
-    def _rows(self, beat):
-        """Return all rows that a server is to hold, without those that leave."""
-        rows = []
-        held = set(beat.holds)
-        for run in self._book.rows_of(beat.id, beat.service):
-            for first, last in self._staying(run):
-                known = any(
+    def _ranges_to_hold(self, message):
+        """Return all ranges that a server is to hold, without those to release.
+
+        Handover data is included only for ranges that the server does not hold yet.
+        """
+        ranges = []
+        reported = set(message.holds)
+        for run in self._state.rows_of(message.id, message.service):
+            for first, last in self._parts_to_keep(run):
+                already_held = any(
                     a <= first and last <= b and fence == run.fence
-                    for a, b, fence in held
+                    for a, b, fence in reported
                 )
-                rows.append((first, last, run.fence, "" if known else run.handover))
-        return rows
+                ranges.append(
+                    (first, last, run.fence, "" if already_held else run.handover)
+                )
+        return ranges
 
-    def _staying(self, run):
-        pieces = [(run.first, run.last)]
+    def _parts_to_keep(self, run):
+        """Return the parts of a range that no started move takes away."""
+        parts = [(run.first, run.last)]
         for move in self._moves:
-            if move.source == run.owner and move.active:
-                pieces = rows_without(pieces, (move.first, move.last))
-        return pieces
-
-    def _answer(self, beat, arrived):
-        self._parked.pop(beat.id, None)
-        before = self._holds.until(beat.id)
+            if move.source == run.owner and move.is_active:
+                parts = rows_without(parts, (move.first, move.last))
+        return parts
+
+    def _renewal(self, message, arrived):
+        """Renew the hold of a server and return the answer to its message."""
+        self._waiting_until.pop(message.id, None)
+        previous_expiry = self._holds.expires_at(message.id)
         for move in self._moves:
-            if move.source == beat.id and move.active and not move.until:
-                # What is left out now was renewed by the answer before last.
-                move.until = before
-        self._holds.renew(beat.id, arrived=arrived)
+            if (
+                move.source == message.id
+                and move.is_active
+                and not move.source_expires_at
+            ):
+                # This answer no longer renews the moved range; the previous answer
+                # was the last one to do so.
+                move.source_expires_at = previous_expiry
+        self._holds.renew(message.id, arrived=arrived)
         return Beaten(
-            index=self._book.index,
-            rows=tuple(self._rows(beat)),
+            index=self._state.index,
+            rows=tuple(self._ranges_to_hold(message)),
             hold=self._timing.hold,
         )
 
-    async def end(self, report):
-        """Take a server out that has ended, and note what it had then.
+    async def remove_ended(self, report):
+        """Remove a server that has ended, and record its requests at that time.
 
-        It holds nothing any more: its keys need not wait for the end of its hold.
+        Its keys are freed at once, because an ended server holds nothing and its
+        hold need not expire first.
         """
         self.ensure_term()
-        present = report.id in self._book.instances
+        present = report.id in self._state.instances
         if not present and not report.requests:
             return
         command = EndInstance(
@@ -386,20 +419,20 @@
             requests=report.requests,
             version=report.version,
         )
-        await self._take_out((report.id,), command)
+        await self._remove_servers((report.id,), command)
         if present:
-            log.info("Server %s has ended.", report.id)
+            log.info("Server %s has ended and was removed.", report.id)
 
-    async def depart(self, id):
-        """Take a server out that ends without a heartbeat that says so."""
+    async def mark_leaving(self, id):
+        """Mark a server as leaving that sends no heartbeat to say so."""
         self.ensure_term()
-        instance = self._book.instances.get(id)
+        instance = self._state.instances.get(id)
         if instance is not None and not instance.leaving:
             await self._propose(LeaveInstance(id=id))
-            log.info("Server %s leaves.", id)
+            log.info("Server %s is leaving.", id)
 
-    def note_load(self, report):
-        """Take a report of requests by key."""
+    def record_load(self, report):
+        """Record a report of the requests by key and of their latency."""
         loads = self._loads.get(report.service)
         if loads is None:
             loads = self._loads[report.service] = KeyLoads(
@@ -412,59 +445,75 @@
     # Plans
 
     async def run(self):
-        """Tend the book while this control host leads, until cancelled."""
+        """Expire holds and plan key ranges while leading, until cancelled."""
         while True:
-            await asyncio.sleep(TICK_SECONDS)
+            await asyncio.sleep(TICK_INTERVAL_SECONDS)
             if not self._raft.is_leader:
-                # Whoever waits here for news finds the next leader sooner.
-                self._notify(self._parked)
-                self._parked = {}
+                # Wake the waiting messages: they fail with `NotLeader`, and their
+                # senders look for the next leader at once.
+                self._notify(self._waiting_until)
+                self._waiting_until = {}
                 continue
             self.ensure_term()
             try:
-                await self._expire()
+                await self._remove_expired()
                 self._activate_moves()
-                for name, rules in self._book.config.services.items():
-                    if rules.keyed and self._granting_of(name) is not UNKNOWN:
-                        await self._plan(name)
+                for name, service in self._state.config.services.items():
+                    if service.keyed and self._granting_mode(name) is not UNKNOWN:
+                        await self._plan_service(name)
             except NotLeader:
                 continue
 
-    async def _expire(self):
-        book = self._book
-        owners = {r.owner for runs in book.runs.values() for r in runs}
-        gone = [
+    async def _remove_expired(self):
+        """Remove servers whose hold has expired, or that own nothing and are silent."""
+        state = self._state
+        owners = {run.owner for runs in state.runs.values() for run in runs}
+        expired = [
             id
-            for id in book.instances
-            if (self._holds.expired(id) if id in owners else self._holds.silent(id))
+            for id in state.instances
+            if (
+                self._holds.is_expired(id)
+                if id in owners
+                else self._holds.is_silent(id)
+            )
         ]
-        if gone:
-            log.info("Servers are silent and hold nothing now: %s.", ", ".join(gone))
-            await self._take_out(tuple(gone), RemoveInstances(ids=tuple(gone)))
+        if expired:
+            log.info(
+                "Removing silent servers without a valid hold: %s.", ", ".join(expired)
+            )
+            await self._remove_servers(
+                tuple(expired), RemoveInstances(ids=tuple(expired))
+            )
         await self._expire_moves()
 
-    async def _take_out(self, ids, command):
-        """Commit that servers are out, whose keys may then be given to others.
+    async def _remove_servers(self, ids, command):
+        """Commit the removal of servers, after which others may get their keys.
 
         Notes
         -----
-        The commit takes a while. A server that comes back in that time must
-        not be renewed: it would go on holding keys that have another owner
-        as soon as the commit is there. If its fate stays unknown, so does
-        theirs until the next term.
+        The commit takes a while. A server that comes back during that time must
+        not be renewed: it would continue to hold keys that get another owner as
+        soon as the removal is committed. If the commit fails, its outcome is
+        unknown, and the servers are not renewed until the next term.
         """
         self._removing.update(ids)
         await self._propose(command)
         for id in ids:
             self._holds.forget(id)
-            # Should it come back under the same start, its numbers begin anew.
-            self._newest.pop((Beat, id), None)
+            # If the server comes back with the same id, its sequence numbers
+            # start again.
+            self._latest.pop((Beat, id), None)
         self._removing.difference_update(ids)
 
     async def _expire_moves(self):
+        """Free moved ranges whose source's hold has expired; drop old moves."""
         now = self._clock()
         for move in list(self._moves):
-            if move.until and now > move.until and self._is_pending(move):
+            if (
+                move.source_expires_at
+                and now > move.source_expires_at
+                and self._is_still_owned(move)
+            ):
                 rows = ((move.first, move.last, ""),)
                 await self._propose(
                     ReleaseKeys(service=move.service, owner=move.source, rows=rows)
@@ -472,75 +521,89 @@
         self._moves = [
             move
             for move in self._moves
-            if move.until or now - move.began <= MOVE_SECONDS
+            if move.source_expires_at or now - move.started_at <= MOVE_TIMEOUT_SECONDS
         ]
 
-    def _is_pending(self, move):
-        runs = self._book.runs_of(move.service)
+    def _is_still_owned(self, move):
+        """Whether the source of a move still owns any key of its range."""
+        runs = self._state.runs_of(move.service)
         return any(
             run.owner == move.source for run in runs_within(runs, move.first, move.last)
         )
 
-    async def _plan(self, name):
-        book = self._book
+    async def _plan_service(self, name):
+        """Plan and commit grants for one service, and begin moves."""
+        state = self._state
         capacity = self._capacity(name)
-        if not capacity or self._settles(name):
+        if not capacity or self._is_settling(name):
             return
-        runs = book.runs_of(name)
+        runs = state.runs_of(name)
         now = self._clock()
-        # Silent servers keep their keys until it is sure that they hold none.
-        absent = frozenset(
-            i.id for i in book.servers(name) if not i.leaving and i.id not in capacity
+        # Silent servers keep their keys until their holds have certainly expired.
+        silent = frozenset(
+            i.id for i in state.servers(name) if not i.leaving and i.id not in capacity
         )
-        free = any(not run.owner for run in runs)
-        staying = {"", *capacity, *absent}
-        stranded = any(run.owner not in staying for run in runs)
-        if not free and not stranded and now - self._balanced < BALANCE_SECONDS:
+        has_free = any(not run.owner for run in runs)
+        keeping = {"", *capacity, *silent}
+        has_evacuations = any(run.owner not in keeping for run in runs)
+        if (
+            not has_free
+            and not has_evacuations
+            and now - self._balanced_at < BALANCE_INTERVAL_SECONDS
+        ):
             return
-        if not free:
-            self._balanced = now
-        loads = self._loads[name].read() if name in self._loads else Loads()
+        if not has_free:
+            self._balanced_at = now
+        loads = self._loads[name].current_loads() if name in self._loads else Loads()
         moves = [move for move in self._moves if move.service == name]
-        targets = await self._grant_moved(name, runs, moves, capacity)
-        view = RunView(
-            runs=self._book.runs_of(name),
+        finished = await self._grant_released(name, runs, moves, capacity)
+        view = KeyRangeView(
+            runs=self._state.runs_of(name),
             capacity=capacity,
-            absent=absent,
+            silent=silent,
             load=loads.busy,
             areas=loads.areas,
             policy=self._policy,
             moving={
-                (m.first, m.last): m.target
-                for m in moves
-                if (m.first, m.last) not in targets
+                (move.first, move.last): move.target
+                for move in moves
+                if (move.first, move.last) not in finished
             },
         )
-        plan = plan_runs(view)
+        plan = plan_key_ranges(view)
         if plan.grants:
             await self._propose(GrantKeys(service=name, rows=plan.grants))
             self._notify(row[2] for row in plan.grants)
         if plan.moves:
             log.info(
-                "Keys move.",
+                "Moving key ranges.",
                 extra={
                     "service": name,
-                    "moves": plan.moves[:LOGGED_MOVES],
+                    "moves": plan.moves[:MAX_LOGGED_MOVES],
                     "number": len(plan.moves),
                     "servers": len(capacity),
                     "capacity": {
                         target: round(capacity[target])
-                        for _, _, target in plan.moves[:LOGGED_MOVES]
+                        for _, _, target in plan.moves[:MAX_LOGGED_MOVES]
                         if target in capacity
                     },
-                    "busiest": dict(nlargest(LOGGED_KEYS, loads.busy.items(), _rate)),
+                    "busiest": dict(
+                        nlargest(MAX_LOGGED_KEYS, loads.busy.items(), _item_rate)
+                    ),
                     "rare": round(sum(loads.areas), 1),
                 },
             )
         for first, last, target in plan.moves:
             self._begin_move(name, first, last, target)
 
-    async def _grant_moved(self, name, runs, moves, capacity):
-        """Give rows that were released for a move to their targets."""
+    async def _grant_released(self, name, runs, moves, capacity):
+        """Grant ranges that were released for a move to their targets.
+
+        Returns
+        -------
+        finished : set of tuple
+            Ranges (first, last) of the moves whose source no longer owns them.
+        """
         rows = []
         for move in moves:
             for run in runs_within(runs, move.first, move.last):
@@ -553,38 +616,43 @@
             await self._propose(GrantKeys(service=name, rows=tuple(rows)))
             self._notify(row[2] for row in rows)
             log.info(
-                "Moved keys are granted.",
+                "Granted moved key ranges to their targets.",
                 extra={
                     "service": name,
-                    "rows": rows[:LOGGED_MOVES],
+                    "rows": rows[:MAX_LOGGED_MOVES],
                     "number": len(rows),
                 },
             )
-        done = {(m.first, m.last) for m in moves if not self._is_pending(m)}
+        finished = {
+            (move.first, move.last) for move in moves if not self._is_still_owned(move)
+        }
         self._moves = [
-            m for m in self._moves if m.service != name or (m.first, m.last) not in done
+            move
+            for move in self._moves
+            if move.service != name or (move.first, move.last) not in finished
         ]
-        return done
+        return finished
 
     def _begin_move(self, name, first, last, target):
-        for run in runs_within(self._book.runs_of(name), first, last):
+        """Record a planned move, one for each owned range that it covers."""
+        for run in runs_within(self._state.runs_of(name), first, last):
             if not run.owner or run.owner == target:
                 continue
-            move = Move(
+            move = KeyMove(
                 service=name,
                 first=max(first, run.first),
                 last=min(last, run.last),
                 source=run.owner,
                 target=target,
-                began=self._clock(),
+                started_at=self._clock(),
             )
-            if self._granting_of(name) is Granting.CALL:
-                # Both ends can be told at any moment.
-                move.active = True
+            if self._granting_mode(name) is Granting.CALL:
+                # Sidecars that grant by calls can be told at any moment.
+                move.is_active = True
                 self._notify((move.source,))
             self._moves.append(move)
             log.debug(
-                "Keys %d to %d of %s go from %s to %s.",
+                "Moving keys %d to %d of %s from server %s to %s.",
                 move.first,
                 move.last,
                 name,
@@ -593,44 +661,54 @@
             )
 
     def _capacity(self, name):
-        """Return requests a second that each server that stays can do."""
+        """Return the requests per second that each server can process.
+
+        Leaves out servers that are leaving or not present.
+        """
         servers = [
-            i for i in self._book.servers(name) if not i.leaving and self._is_present(i)
+            i
+            for i in self._state.servers(name)
+            if not i.leaving and self._is_present(i)
         ]
-        known = [self._latency[i.id] for i in servers if i.id in self._latency]
-        usual = sorted(known)[len(known) // 2] if known else 1 / SLOT_RATE
+        latencies = [self._latency[i.id] for i in servers if i.id in self._latency]
+        median = (
+            sorted(latencies)[len(latencies) // 2]
+            if latencies
+            else 1 / DEFAULT_SLOT_RATE
+        )
         now = self._clock()
         capacity = {}
         for server in servers:
-            rate = server.slots / self._latency.get(server.id, usual)
-            if self._cold.get(server.id, 0.0) > now:
-                rate *= COLD_SHARE
+            rate = server.slots / self._latency.get(server.id, median)
+            if self._cold_until.get(server.id, 0.0) > now:
+                rate *= COLD_CAPACITY_FACTOR
             capacity[server.id] = max(rate, 0.1)
         return capacity
 
     def _is_present(self, server):
-        """Whether a server was heard in this term, and may hold something.
+        """Whether a server was heard from in this term, and may hold keys.
 
-        After the loss of all power the book is full of servers that ended;
-        keys must not go to those, nor from one to another.
+        After a power failure of all hosts the replicated state lists many servers
+        that have ended. Keys must not be granted to those, or moved between them.
         """
-        by_call = self._granting_of(server.service) is Granting.CALL
-        kind = RenewKeys if by_call else Beat
-        heard = (kind, server.id) in self._newest
-        return heard and not self._holds.expired(server.id)
-
-    def _settles(self, name):
-        """Whether the first servers of a service are still coming."""
-        if name in self._book.runs:
+        granted_by_call = self._granting_mode(server.service) is Granting.CALL
+        message_type = RenewKeys if granted_by_call else Beat
+        heard = (message_type, server.id) in self._latest
+        return heard and not self._holds.is_expired(server.id)
+
+    def _is_settling(self, name):
+        """Whether the first servers of a service are still joining."""
+        if name in self._state.runs:
             return False
-        joined = self._joined.setdefault(name, self._clock())
+        joined = self._joined_at.setdefault(name, self._clock())
         return self._clock() - joined < self._timing.settle
 
     def _notify(self, ids):
+        """Wake the messages of servers that wait for an answer."""
         for id in ids:
-            event = self._events.get(id)
-            if event is not None:
-                event.set()
+            wakeup = self._wakeups.get(id)
+            if wakeup is not None:
+                wakeup.set()
 
     def _require_lead(self):
         if not self._raft.is_leader:
@@ -640,20 +718,20 @@
         return await self._raft.propose(encode_command(command))
 
 
-def _rate(item):
+def _item_rate(item):
     return item[1]
 
 
-def _joining(beat):
+def _join_command(heartbeat):
     return JoinInstance(
-        id=beat.id,
-        service=beat.service,
-        host=beat.host,
-        door=beat.door,
-        address=beat.address,
-        zone=beat.zone,
-        slots=beat.slots,
-        name=beat.name,
-        born=beat.born,
-        version=beat.version,
+        id=heartbeat.id,
+        service=heartbeat.service,
+        host=heartbeat.host,
+        door=heartbeat.door,
+        address=heartbeat.address,
+        zone=heartbeat.zone,
+        slots=heartbeat.slots,
+        name=heartbeat.name,
+        born=heartbeat.born,
+        version=heartbeat.version,
     )
--- a/guavastream/control/holds.py
+++ b/guavastream/control/holds.py
@@ -1,16 +1,17 @@
-"""The leader's soft state: until when servers may hold their keys, and moves."""
+"""Leader state that is not replicated: when holds expire, and moves in progress."""
 
 from dataclasses import dataclass
 
-__all__ = ["Holds", "Move"]
+__all__ = ["HoldTracker", "KeyMove"]
 
 
 @dataclass(kw_only=True, slots=True)
-class Move:
-    """A row on its way.
+class KeyMove:
+    """A key range that is being moved between two servers.
 
-    Its source keeps it until the move is `active`; `until` is when the source
-    holds it no more for sure, once it was told.
+    The source keeps the range until the move `is_active`. Once the source has
+    been told, `source_expires_at` is the time after which it certainly no longer
+    holds the range; 0 before that.
     """
 
     service: str
@@ -18,75 +19,77 @@
     last: int
     source: str
     target: str
-    began: float
-    active: bool = False
-    until: float = 0.0
+    started_at: float
+    is_active: bool = False
+    source_expires_at: float = 0.0
 
 
-class Holds:
-    """Until when each server may hold keys, counted from its heartbeats.
+class HoldTracker:
+    """Tracks until when each server may hold keys, as renewed by its heartbeats.
 
-    The server counts from when it *sent* a heartbeat, the leader from when
-    it arrived, which is later: the server always stops first.
+    A hold is a lease on keys. The server counts its duration from when it *sent*
+    a heartbeat, the leader from when the heartbeat arrived, which is later: the
+    server always stops first.
 
     Parameters
     ----------
     clock : callable
-        Steady time in seconds, suspensions included.
+        Monotonic time in seconds, including time while suspended.
     timing : HoldTiming
-        Times of holds.
+        Durations of holds.
 
     Examples
     --------
     >>> from guavastream.leases import HoldTiming
     >>> now = 0.0
-    >>> holds = Holds(clock=lambda: now, timing=HoldTiming(hold=3.0))
-    >>> holds.start(["a"], since=0.0)
+    >>> holds = HoldTracker(clock=lambda: now, timing=HoldTiming(hold=3.0))
+    >>> holds.start_term(["a"], since=0.0)
     >>> now = 2.0
     >>> holds.renew("a", arrived=2.0)
     >>> now = 5.0
-    >>> holds.expired("a"), holds.expired("b")
+    >>> holds.is_expired("a"), holds.is_expired("b")
     (False, True)
     """
 
     def __init__(self, *, clock, timing):
         self._clock = clock
         self._timing = timing
-        self._until = {}
-        self._heard = {}
+        self._expires_at = {}
+        self._last_heartbeat = {}
 
-    def start(self, ids, *, since):
-        """Begin a term: each server may hold keys from the leader before.
+    def start_term(self, ids, *, since):
+        """Start a term: each server may hold keys granted by a previous leader.
 
-        `since` is when the last such leader can have renewed anything.
+        `since` is the latest time at which a previous leader can have renewed a
+        hold.
         """
-        until = min(since, self._clock()) + self._timing.kept
-        self._until = dict.fromkeys(ids, until)
-        self._heard = dict.fromkeys(ids, self._clock())
+        expires_at = min(since, self._clock()) + self._timing.kept
+        self._expires_at = dict.fromkeys(ids, expires_at)
+        self._last_heartbeat = dict.fromkeys(ids, self._clock())
 
     def renew(self, id, *, arrived):
-        """Note that an answer renews what a server holds."""
-        until = arrived + self._timing.kept
-        self._until[id] = max(until, self._until.get(id, 0.0))
+        """Record that the answer to a heartbeat renews the hold of a server."""
+        expires_at = arrived + self._timing.kept
+        self._expires_at[id] = max(expires_at, self._expires_at.get(id, 0.0))
 
-    def hear(self, id):
-        """Note a heartbeat, whether or not it renews."""
-        self._heard[id] = self._clock()
+    def record_heartbeat(self, id):
+        """Record a heartbeat, whether or not it renews the hold."""
+        self._last_heartbeat[id] = self._clock()
 
-    def until(self, id):
-        """Return when a server has stopped holding keys for sure."""
-        return self._until.get(id, 0.0)
+    def expires_at(self, id):
+        """Return the time after which a server certainly holds no keys."""
+        return self._expires_at.get(id, 0.0)
 
-    def expired(self, id):
-        """Whether a server holds nothing any more."""
-        return self._clock() > self.until(id)
+    def is_expired(self, id):
+        """Whether the hold of a server has expired."""
+        return self._clock() > self.expires_at(id)
 
-    def silent(self, id):
-        """Whether a server was not heard for long."""
-        heard = self._heard.get(id, float("-inf"))
+    def is_silent(self, id):
+        """Whether a server has sent no heartbeat for `HoldTiming.silent` seconds."""
+        heard = self._last_heartbeat.get(id, float("-inf"))
         return self._clock() - heard > self._timing.silent
 
     def forget(self, id):
-        """Drop a server that is gone."""
-        self._until.pop(id, None)
-        self._heard.pop(id, None)
+        """Drop the state of a removed server."""
+        self._expires_at.pop(id, None)
+        self._last_heartbeat.pop(id, None)
--- a/guavastream/control/loads.py
+++ b/guavastream/control/loads.py
@@ -1,4 +1,4 @@
-"""Requests for each key, smoothed over the last seconds."""
+"""Request rates by key, averaged over the last seconds."""
 
 import math
 
@@ -9,47 +9,48 @@
 
 __all__ = ["AREAS", "KeyLoads", "Loads"]
 
-# Time for which a report counts.
+# Time that is covered by one load report.
 REPORT_SECONDS = 0.25
-# Time over which requests are averaged. Busy keys change within seconds, so
-# that older ones tell little; shorter, the noise of single requests decides.
+# Time constant of the average. Which keys are busy changes within seconds, so older
+# requests say little; over a shorter time the noise of single requests dominates.
 WINDOW_SECONDS = 2.0
-# A key whose requests of the last moments differ from that by more than so
-# many times the noise has changed: then the last moments count alone. One key
-# may get two fifths of all requests from one second to the next.
-SHORT_SECONDS = 0.5
+# Time constant of a second, shorter average. It replaces the longer one for a key
+# if the two differ by more than this multiple of the noise: a single key may
+# receive two fifths of all requests from one second to the next.
+SHORT_WINDOW_SECONDS = 0.5
 CHANGE_SIGMAS = 3.0
-# Requests a second of a key below which it is too rare to tell a change.
-LEAST_SIGMA = 2.0
-# Keys below this are counted by area, requests a second. Most requests go to
-# keys that are rare by themselves, and many of these lie close together.
-FLOOR = 1.5
-# Requests that must have come for it; fewer are chance.
-LEAST_COUNT = 3.0
-# A key with fewer faded requests is forgotten.
-FORGOTTEN = 0.2
-# Parts of all keys, of equal size, by which rare keys are counted; and the
-# time over which they are, since their popularity changes slowly.
+# Lower bound, in requests per second, of the rate that the noise is estimated from:
+# the requests of rarer keys are too few to detect a change.
+MIN_NOISE_RATE = 2.0
+# Requests per second below which a key is counted by area only. Most requests are
+# for keys that are rarely requested one by one, many of which are close together.
+MIN_BUSY_RATE = 1.5
+# Number of requests below which a rate is considered chance.
+MIN_BUSY_COUNT = 3.0
+# A key whose decayed number of requests is below this is forgotten.
+MIN_KEPT_COUNT = 0.2
+# Rare keys are counted by area. The areas are equal parts of the key space, averaged
+# over a longer time because the popularity of rare keys changes slowly.
 AREAS = 256
-AREA_KEYS = KEYS // AREAS
-AREA_SECONDS = 6.0
+KEYS_PER_AREA = KEYS // AREAS
+AREA_WINDOW_SECONDS = 6.0
 
 
 @record
 class Loads:
-    """Requests a second: of each busy key, and of the others by area."""
+    """Requests per second: `busy` by key, and `areas` for other keys by area."""
 
     busy: dict = msgspec.field(default_factory=dict)
     areas: tuple = ()
 
 
-class _Average:
-    """Counts by key that fade with time; `rates` are requests a second.
+class _DecayingCounts:
+    """Counts requests by key with exponential decay.
 
-    At first they are means over the time so far: a leader that has just been
-    elected would else take all servers to be idle for seconds, and move
-    nothing. What comes later counts more, in place of all that came before
-    counting less: nothing needs to be gone through for each report.
+    Until a full time constant has passed, rates are means over the time so far:
+    otherwise a newly elected leader would take all servers to be idle for seconds
+    and move no keys. Newer requests are given more weight, instead of reducing the
+    weight of older ones, so that a report need not update all counts.
 
     References
     ----------
@@ -60,92 +61,108 @@
     def __init__(self, *, clock, seconds):
         self._clock = clock
         self._seconds = seconds
-        # What comes first was counted before.
-        self._since = self._origin = clock() - REPORT_SECONDS
-        self._sums = {}
+        # The first report covers the time before it.
+        self._started_at = self._origin = clock() - REPORT_SECONDS
+        self._weighted_counts = {}
 
-    def _growth(self):
+    def _weight(self):
+        """Return the weight of a request that arrives now."""
         return math.exp((self._clock() - self._origin) / self._seconds)
 
     def add(self, key, count):
         """Count requests of a key."""
-        weight = count * self._growth()
-        self._sums[key] = self._sums.get(key, 0.0) + weight
+        weighted = count * self._weight()
+        self._weighted_counts[key] = self._weighted_counts.get(key, 0.0) + weighted
 
     def totals(self):
-        """Return the faded numbers of requests by key, without forgotten ones."""
-        growth = self._growth()
-        least = FORGOTTEN * growth
-        self._sums = {key: v / growth for key, v in self._sums.items() if v > least}
+        """Return the decayed number of requests by key; drop forgotten keys."""
+        weight = self._weight()
+        min_kept = MIN_KEPT_COUNT * weight
+        self._weighted_counts = {
+            key: v / weight for key, v in self._weighted_counts.items() if v > min_kept
+        }
         self._origin = self._clock()
-        return self._sums
+        return self._weighted_counts
 
-    def scale(self):
-        """Return what makes a number of requests a rate, a second."""
-        age = self._clock() - self._since
+    def rate_factor(self):
+        """Return the factor that turns a decayed number into requests per second."""
+        age = self._clock() - self._started_at
         return 1 / (self._seconds * -math.expm1(-age / self._seconds))
 
 
 class KeyLoads:
-    """What the processes beside the servers of one service reported.
+    """Aggregates the load reports of the sidecars of one service.
 
     Parameters
     ----------
     clock : callable
-        Steady time in seconds.
+        Monotonic time in seconds.
     policy : Policy, optional
-        Mechanisms that are in force.
+        Enabled mechanisms.
 
     Examples
     --------
     >>> now = 0.0
     >>> loads = KeyLoads(clock=lambda: now)
     >>> loads.note(((7, 40), (300, 1)), 0)
-    >>> found = loads.read()
+    >>> found = loads.current_loads()
     >>> found.busy[7] > found.areas[1] > 0 == found.areas[2]
     True
     """
 
     def __init__(self, *, clock, policy=None):
         self._policy = policy or Policy()
-        self._long = _Average(clock=clock, seconds=WINDOW_SECONDS)
-        self._short = _Average(clock=clock, seconds=SHORT_SECONDS)
-        self._areas = _Average(clock=clock, seconds=AREA_SECONDS)
+        self._long = _DecayingCounts(clock=clock, seconds=WINDOW_SECONDS)
+        self._short = _DecayingCounts(clock=clock, seconds=SHORT_WINDOW_SECONDS)
+        self._areas = _DecayingCounts(clock=clock, seconds=AREA_WINDOW_SECONDS)
 
     def note(self, keys, rest):
-        """Count requests: pairs of key and count, and those for other keys."""
+        """Count the requests of a report.
+
+        Parameters
+        ----------
+        keys : iterable of tuple
+            Pairs of key and number of requests.
+        rest : int
+            Number of requests for all other keys.
+        """
         for key, count in keys:
             self._long.add(key, count)
             self._short.add(key, count)
-            self._areas.add(key // AREA_KEYS, count)
+            self._areas.add(key // KEYS_PER_AREA, count)
         if rest:
             for area in range(AREAS):
                 self._areas.add(area, rest / AREAS)
 
-    def read(self):
-        """Return the `Loads` of now."""
-        usual, lately = self._long.totals(), self._short.totals()
-        scales = self._long.scale(), self._short.scale()
-        scale = self._areas.scale()
-        # What its busy keys had over the time of an area is not of the others.
-        areas = {area: v * scale for area, v in self._areas.totals().items()}
+    def current_loads(self):
+        """Return the current `Loads`."""
+        long_totals, short_totals = self._long.totals(), self._short.totals()
+        factors = self._long.rate_factor(), self._short.rate_factor()
+        area_factor = self._areas.rate_factor()
+        # The areas include the requests of busy keys, which are subtracted below.
+        areas = {area: v * area_factor for area, v in self._areas.totals().items()}
         busy = {}
-        for key, total in usual.items():
-            if total < LEAST_COUNT:
+        for key, total in long_totals.items():
+            if total < MIN_BUSY_COUNT:
                 continue
-            before = total * scales[0]
-            rate = self._rate(before, lately.get(key, 0.0) * scales[1])
-            if rate >= FLOOR:
+            long_rate = total * factors[0]
+            rate = self._rate(long_rate, short_totals.get(key, 0.0) * factors[1])
+            if rate >= MIN_BUSY_RATE:
                 busy[key] = rate
-                area = key // AREA_KEYS
-                areas[area] = max(0.0, areas.get(area, 0.0) - min(rate, before))
+                area = key // KEYS_PER_AREA
+                areas[area] = max(0.0, areas.get(area, 0.0) - min(rate, long_rate))
         return Loads(
             busy=busy, areas=tuple(areas.get(area, 0.0) for area in range(AREAS))
         )
 
-    def _rate(self, usual, lately):
+    def _rate(self, long_rate, short_rate):
+        """Return the short-term rate of a key if it has changed, else the long one."""
         if not self._policy.changes:
-            return usual
-        # The deviation of a rate that is counted over about twice the time.
-        noise = math.sqrt(max(usual, LEAST_SIGMA) / (2 * SHORT_SECONDS))
-        return lately if abs(lately - usual) > CHANGE_SIGMAS * noise else usual
+            return long_rate
+        # Standard deviation of a rate counted over about twice the time constant.
+        noise = math.sqrt(max(long_rate, MIN_NOISE_RATE) / (2 * SHORT_WINDOW_SECONDS))
+        return (
+            short_rate
+            if abs(short_rate - long_rate) > CHANGE_SIGMAS * noise
+            else long_rate
+        )
--- a/guavastream/control/planner.py
+++ b/guavastream/control/planner.py
@@ -1,10 +1,10 @@
-"""The leader's task: expire leases, hand out shards, start moves."""
+"""Background task of the leader: expires leases, assigns shards, starts moves."""
 
 import asyncio
 
 from guavastream.exception import NotLeader
 from guavastream.kernel import part_logger
-from guavastream.placement import POLICIES, View
+from guavastream.placement import POLICIES, PlacementView
 from guavastream.state import (
     AssignShards,
     RemoveMembers,
@@ -14,28 +14,29 @@
 
 __all__ = ["Planner"]
 
-TICK_SECONDS = 0.02
-FOLLOWER_TICK_SECONDS = 0.1
+LEADER_INTERVAL_SECONDS = 0.02
+FOLLOWER_INTERVAL_SECONDS = 0.1
+# Wait for further servers before the shards of a new service are first assigned.
 SETTLE_SECONDS = 0.3
 
 log = part_logger("planner")
 
 
 class Planner:
-    """Keeps the table as leases, declarations and drains demand.
+    """Keeps the shard table in line with leases, declarations and drains.
 
     Parameters
     ----------
     raft : Raft
         Commits the decisions.
-    machine : TableMachine
-        The state they start from.
+    machine : TableStateMachine
+        Holds the table that the decisions are based on.
     keeper : LeaseKeeper
-        Says who has gone.
+        Tracks the leases of the members.
     policy : str
         Name of the placement policy.
     record : callable
-        Takes the kind and fields of an event.
+        Receives the kind and fields of an event.
     """
 
     def __init__(self, *, raft, machine, keeper, policy="balanced", record):
@@ -45,60 +46,62 @@
         self._policy = POLICIES.get(policy)()
         self._record = record
         self._term = 0
-        self._seen = None
+        self._planned_index = None
         self._first_seen = {}
         self._clock = asyncio.get_running_loop().time
 
     def ensure_term(self):
-        """Begin a new term of this leader, if there is one.
+        """Start tracking leases anew if a new term of this leader has started.
 
-        Called before any lease is renewed, so that no renewal of this term
-        is lost to the book's start.
+        Must be called before any lease is renewed in the term: the start of a
+        term resets the leases and would discard the renewal.
         """
         if self._term != self._raft.term:
             self._term = self._raft.term
-            self._seen = None
+            self._planned_index = None
             self._keeper.start(
                 self._machine.table.members, since=self._raft.predecessor_end
             )
 
     async def run(self):
-        """Tend the table while this control host leads, until cancelled."""
+        """Expire leases and plan shards while leading, until cancelled."""
         while True:
             if not self._raft.is_leader:
-                await asyncio.sleep(FOLLOWER_TICK_SECONDS)
+                await asyncio.sleep(FOLLOWER_INTERVAL_SECONDS)
                 continue
-            await asyncio.sleep(TICK_SECONDS)
+            await asyncio.sleep(LEADER_INTERVAL_SECONDS)
             self.ensure_term()
             try:
-                await self._tend()
+                await self._update_table()
             except NotLeader:
                 continue
 
-    async def _tend(self):
+    async def _update_table(self):
         expired = self._keeper.expired()
         members = self._machine.table.members
-        gone = tuple(member for member in expired if member in members)
-        for member in gone:
-            log.info("Lease of member %d has run out.", member)
+        to_remove = tuple(member for member in expired if member in members)
+        for member in to_remove:
+            log.info("Lease of member %d has expired.", member)
             self._record("lease_expired", epoch=member)
-        if gone:
-            await self._propose(RemoveMembers(members=gone))
+        if to_remove:
+            await self._propose(RemoveMembers(members=to_remove))
         for member in expired:
             self._keeper.forget(member)
         table = self._machine.table
-        # Nothing is planned twice from the same table; a load report is no
-        # reason on its own, which bounds the churn that lying servers cause.
-        if self._seen == table.index:
+        # Plan once per version of the table. A load report alone triggers no plan,
+        # which limits the moves that servers with false reports can cause.
+        if self._planned_index == table.index:
             return
-        self._seen = table.index
-        await asyncio.gather(*(self._plan(table, service) for service in table.shards))
+        self._planned_index = table.index
+        await asyncio.gather(
+            *(self._plan_service(table, service) for service in table.shards)
+        )
 
-    async def _plan(self, table, name):
+    async def _plan_service(self, table, name):
         service = table.declaration.service(name)
         preset = table.declaration.find_preset(table.preset)
         servers = table.servers(name)
-        view = View(
+        view = PlacementView(
             shards=table.shards[name],
             moving=table.moves.get(name, {}),
             capacity={m.id: m.slots for m in servers if not table.is_drained(m)},
@@ -122,17 +125,17 @@
         await asyncio.gather(*proposals)
 
     def _is_settling(self, view):
-        """Whether a service has only just got its first servers.
+        """Whether the first servers of a service have only just joined.
 
-        Handing all shards to the first one to join would move most of them
-        again as the others come, a moment later.
+        If the first server to join received all shards, most of them would have
+        to move again when the others join a moment later.
         """
         if any(view.shards.epochs):
             return False
         now = self._clock()
-        settled = self._first_seen.setdefault(frozenset(view.capacity), now)
-        if now - settled < SETTLE_SECONDS:
-            self._seen = None
+        first_seen = self._first_seen.setdefault(frozenset(view.capacity), now)
+        if now - first_seen < SETTLE_SECONDS:
+            self._planned_index = None
             return True
         return False
 
--- a/guavastream/control/role.py
+++ b/guavastream/control/role.py
@@ -5,7 +5,7 @@
 import os
 import random
 
-from guavastream.control.machine import TableMachine
+from guavastream.control.machine import TableStateMachine
 from guavastream.control.planner import Planner
 from guavastream.control.raft import Raft
 from guavastream.control.service import ControlService
@@ -33,7 +33,7 @@
         settings = node.settings
         self._lock = _lock_folder(settings.data)
         storage = Storage(folder=settings.data)
-        machine = TableMachine()
+        machine = TableStateMachine()
         timing = LeaseTiming.of_length(settings.lease_ms)
         keeper = LeaseKeeper(clock=node.clock, timing=timing)
         self._raft = Raft(
--- a/guavastream/control/service.py
+++ b/guavastream/control/service.py
@@ -78,7 +78,7 @@
     ----------
     raft : Raft
         This voter.
-    machine : TableMachine
+    machine : TableStateMachine
         The replicated state.
     keeper : LeaseKeeper
         Leases of the members; used while this voter leads.
--- a/guavastream/control/suspects.py
+++ b/guavastream/control/suspects.py
@@ -1,4 +1,4 @@
-"""The leader's part in suspect requests: cleared, let go, lifted by operators."""
+"""Maintenance of suspect requests, those that may have crashed servers."""
 
 import asyncio
 
@@ -11,30 +11,30 @@
 )
 from guavastream.kernel import part_logger
 
-__all__ = ["SuspectKeeper"]
+__all__ = ["SuspectManager"]
 
-TICK_SECONDS = 1.0
-# A request under which no server has ended for this long is tried again, if it was
-# refused, and forgotten if it was not.
-KEPT_SECONDS = 3600.0
-# A version of a service is gone if none of its servers has had it for this long.
-# Those that crashed together are back by then.
-GONE_SECONDS = 30.0
+CHECK_INTERVAL_SECONDS = 1.0
+# A suspect request during which no server has ended for this long is relaxed: if it
+# was refused, it is tried again, and if not, it is forgotten.
+RELAX_SECONDS = 3600.0
+# A version of a service counts as gone if none of its servers has run it for this
+# long. Servers that crashed at the same time have restarted by then.
+VERSION_GONE_SECONDS = 30.0
 
 log = part_logger("quarantine")
 
 
-class SuspectKeeper:
-    """Tends the book's suspect requests while this control host leads.
+class SuspectManager:
+    """Maintains the replicated suspect requests while this control host leads.
 
     Parameters
     ----------
     raft : Raft
         Commits the decisions.
-    machine : TableMachine
-        Keeps the book.
+    machine : TableStateMachine
+        Keeps the replicated state, including the suspect requests.
     clock : callable
-        Steady time in seconds, suspensions included.
+        Monotonic time in seconds, including time while suspended.
     """
 
     def __init__(self, *, raft, machine, clock):
@@ -42,24 +42,27 @@
         self._machine = machine
         self._clock = clock
         self._term = 0
-        # When an end under a request, and the lack of a version, was first seen.
-        self._since = {}
-        self._missing = {}
-        self._told = frozenset()
+        # When each (request, number of ends) was first seen.
+        self._first_seen = {}
+        # When each (service, version) was first seen to run on no server.
+        self._missing_since = {}
+        # Requests that were logged as refused.
+        self._logged = frozenset()
 
     @property
-    def _book(self):
+    def _state(self):
+        """The replicated state after the last applied command."""
         return self._machine.table
 
-    async def note_answered(self, report):
-        """Clear requests that a server has answered.
+    async def clear_answered(self, report):
+        """Clear suspect requests that a server has answered.
 
         Raises
         ------
         NotLeader
-            If this control host does not lead, or no longer.
+            If this control host is not the leader, or stops being it.
         """
-        known = tuple(r for r in report.requests if r in self._book.suspects)
+        known = tuple(r for r in report.requests if r in self._state.suspects)
         if known:
             await self._propose(
                 ClearRequests(
@@ -68,39 +71,42 @@
             )
 
     async def lift(self, requests):
-        """Forget requests, as an operator says.
+        """Forget suspect requests at an operator's command.
 
         Raises
         ------
         NotLeader
-            If this control host does not lead, or no longer.
+            If this control host is not the leader, or stops being it.
         """
-        known = tuple(r for r in requests if r in self._book.suspects)
+        known = tuple(r for r in requests if r in self._state.suspects)
         if known:
             await self._propose(RelaxRequests(requests=known, lift=True))
-            log.info("Lifted by an operator: %s.", ", ".join(r.hex() for r in known))
+            log.info(
+                "Suspect requests lifted by an operator: %s.",
+                ", ".join(r.hex() for r in known),
+            )
 
     async def run(self):
-        """Let old suspects go, until cancelled."""
+        """Relax old suspect requests while leading, until cancelled."""
         while True:
-            await asyncio.sleep(TICK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
             if not self._raft.is_leader:
                 continue
             if self._term != self._raft.term:
                 self._term = self._raft.term
-                self._since, self._missing = {}, {}
-            self._tell()
+                self._first_seen, self._missing_since = {}, {}
+            self._log_refused()
             try:
-                await self._relax()
+                await self._relax_old()
                 await self._forget_versions()
             except NotLeader:
                 continue
 
-    def _tell(self):
-        """Say which requests are refused since the last look."""
-        suspects = self._book.suspects
+    def _log_refused(self):
+        """Log the requests that have become refused since the last call."""
+        suspects = self._state.suspects
         refused = frozenset(r for r, suspect in suspects.items() if suspect.refused)
-        for request in refused - self._told:
+        for request in refused - self._logged:
             suspect = suspects[request]
             log.warning(
                 "A request is refused from now on.",
@@ -110,29 +116,38 @@
                     "places": suspect.places,
                 },
             )
-        self._told = refused
+        self._logged = refused
 
-    async def _relax(self):
-        suspects = self._book.suspects
+    async def _relax_old(self):
+        """Relax the requests whose number of ends has not changed for long."""
+        suspects = self._state.suspects
         now = self._clock()
         marks = {request: (request, s.ends) for request, s in suspects.items()}
-        self._since = {mark: self._since.get(mark, now) for mark in marks.values()}
+        self._first_seen = {
+            mark: self._first_seen.get(mark, now) for mark in marks.values()
+        }
         old = tuple(
             request
             for request, mark in marks.items()
-            if now - self._since[mark] > KEPT_SECONDS
+            if now - self._first_seen[mark] > RELAX_SECONDS
         )
         if old:
             await self._propose(RelaxRequests(requests=old))
 
     async def _forget_versions(self):
-        book, now = self._book, self._clock()
-        present = {(i.service, i.version) for i in book.instances.values()}
+        """Forget the versions that no server of a present service runs any more."""
+        state, now = self._state, self._clock()
+        present = {(i.service, i.version) for i in state.instances.values()}
         services = {service for service, _ in present}
-        places = {place for s in book.suspects.values() for place in s.places}
+        # A place is a pair of service and version.
+        places = {place for s in state.suspects.values() for place in s.places}
         missing = [p for p in places if p[0] in services and p not in present]
-        self._missing = {place: self._missing.get(place, now) for place in missing}
-        gone = tuple(p for p in missing if now - self._missing[p] > GONE_SECONDS)
+        self._missing_since = {
+            place: self._missing_since.get(place, now) for place in missing
+        }
+        gone = tuple(
+            p for p in missing if now - self._missing_since[p] > VERSION_GONE_SECONDS
+        )
         if gone:
             await self._propose(ForgetVersions(places=gone))
 
--- a/guavastream/control/tests/test_catching_up.py
+++ b/guavastream/control/tests/test_catching_up.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from guavastream.control.tests.test_fleet import ROUTE, start_core
+from guavastream.control.tests.test_fleet import ROUTE, start_control_cluster
 from guavastream.emulator import run_paused
 from guavastream.fleet import ChangeRoutes
 from guavastream.routes import ServiceRules
@@ -35,7 +35,7 @@
     # timeout of 0.4 s. The leader then resends it forever and never counts the host,
     # so after the loss of two others, which is allowed, no change is accepted.
     async def main():
-        core = await start_core(tmp_path)
+        core = await start_control_cluster(tmp_path)
         others = [a for a in core.addresses if a != core.leader()]
         away = others.pop()
         core.kill(away)
--- a/guavastream/control/tests/test_fleet.py
+++ b/guavastream/control/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet's control hosts: voters replaced, keys with one holder at a time."""
+"""Control hosts of a fleet: replacement of voters, and one holder per key."""
 
 import asyncio
 import random
@@ -6,10 +6,10 @@
 
 import pytest
 
-from guavastream.control import Raft, RaftTiming, Storage, TableMachine
+from guavastream.control import Raft, RaftTiming, Storage, TableStateMachine
 from guavastream.control.fleet import MAX_STATE_AGE_SECONDS, FleetService, VoterKeeper
-from guavastream.control.grants import Granter
-from guavastream.control.suspects import SuspectKeeper
+from guavastream.control.grants import GrantManager
+from guavastream.control.suspects import SuspectManager
 from guavastream.emulator import FakeNetwork, run_paused
 from guavastream.exception import GuavastreamError, PeerFailure
 from guavastream.fleet import (
@@ -26,8 +26,8 @@
 TIMING = RaftTiming(
     heartbeat=0.08, election_min=0.5, election_max=0.8, lease=0.45, call=0.4
 )
-HOLDS = HoldTiming(hold=2.8, settle=1.0)
-HEARTBEAT = 0.87
+HOLD_TIMING = HoldTiming(hold=2.8, settle=1.0)
+HEARTBEAT_SECONDS = 0.87
 ROUTE = Route(
     name="r",
     host="a",
@@ -39,7 +39,7 @@
     attempts=1,
     parts=(Part(service="s"),),
 )
-FIRST = ChangeRoutes(
+FIRST_CHANGE = ChangeRoutes(
     base=0,
     version=1,
     digest=b"first",
@@ -49,8 +49,8 @@
 )
 
 
-class Core:
-    """Control hosts in one loop, on real files and a fake network."""
+class ControlCluster:
+    """Control hosts in one event loop, with real files and a simulated network."""
 
     def __init__(self, folder, network, *, seeds=3, count=5, timing=TIMING, losses=2):
         self.timing = timing
@@ -65,7 +65,7 @@
         loop = asyncio.get_running_loop()
         self.starts += 1
         transport = self.network.transport(address)
-        machine = TableMachine(codec=BookCodec())
+        machine = TableStateMachine(codec=BookCodec())
         raft = Raft(
             storage=self.storage(str(self.folder / (disk or address))),
             offload=self.offload,
@@ -77,12 +77,14 @@
             rng=random.Random(self.starts),
             may_form=first,
         )
-        granter = Granter(raft=raft, machine=machine, clock=loop.time, timing=HOLDS)
+        granter = GrantManager(
+            raft=raft, machine=machine, clock=loop.time, timing=HOLD_TIMING
+        )
         client = ControlClient(transport=transport, addresses=self.seeds)
         keeper = VoterKeeper(
             raft=raft, control=client, address=address, wanted=len(self.addresses)
         )
-        suspects = SuspectKeeper(raft=raft, machine=machine, clock=loop.time)
+        suspects = SuspectManager(raft=raft, machine=machine, clock=loop.time)
         service = FleetService(
             raft=raft,
             machine=machine,
@@ -109,6 +111,7 @@
             self.start(address)
 
     def kill(self, address):
+        """Stop a control host; its disk stays."""
         self.network.remove(address)
         self.rafts.pop(address)
         for task in self.tasks.pop(address):
@@ -118,13 +121,15 @@
         return next((a for a, raft in self.rafts.items() if raft.is_leader), None)
 
     async def until(self, condition, seconds=10.0):
+        """Wait until a condition is met, checked every 50 ms."""
         for _ in range(int(seconds / 0.05)):
             if condition():
                 return
             await asyncio.sleep(0.05)
-        raise AssertionError("did not come about")
+        raise AssertionError("the condition was not met in time")
 
-    async def until_full(self, count=5):
+    async def wait_for_voters(self, count=5):
+        """Wait until there is a leader and the group has `count` voters."""
         await self.until(
             lambda: self.leader() and len(self.rafts[self.leader()].voters) == count
         )
@@ -142,43 +147,46 @@
         return answer.config.version
 
 
-async def start_core(folder, **settings):
-    """Return a `Core` that has formed its group and has a configuration."""
-    core = Core(folder, FakeNetwork(seed=1), **settings)
-    core.start_all()
-    await core.until_full(len(core.addresses))
-    await core.change(FIRST)
-    return core
+async def start_control_cluster(folder, **settings):
+    """Return a `ControlCluster` that has formed its group and has a configuration."""
+    cluster = ControlCluster(folder, FakeNetwork(seed=1), **settings)
+    cluster.start_all()
+    await cluster.wait_for_voters(len(cluster.addresses))
+    await cluster.change(FIRST_CHANGE)
+    return cluster
 
 
 @dataclass
-class Server:
-    """A backend server as the fleet sees it: heartbeats, holds, releases."""
+class SimulatedServer:
+    """A backend server that sends heartbeats, and holds and releases keys.
+
+    `fence_log` has the latest fence of each key over all servers.
+    """
 
     id: str
-    core: Core
-    log: dict
+    cluster: ControlCluster
+    fence_log: dict
     held: dict = field(default_factory=dict)
-    until: float = 0.0
-    seen: dict = field(default_factory=dict)
+    hold_end: float = 0.0
+    latest_fences: dict = field(default_factory=dict)
     released: list = field(default_factory=list)
     leaving: bool = False
-    drift: float = 1.02
+    clock_drift: float = 1.02
 
     def holds(self, key):
         now = asyncio.get_running_loop().time()
-        return key in self.held and now < self.until
+        return key in self.held and now < self.hold_end
 
     async def run(self):
         loop = asyncio.get_running_loop()
-        client = self.core.client(f"10.9.0.{self.id}:1")
+        client = self.cluster.client(f"10.9.0.{self.id}:1")
         seq = 0
         while True:
             seq += 1
             sent = loop.time()
-            if sent >= self.until:
+            if sent >= self.hold_end:
                 self.held = {}
-            told = list(self.released)
+            reported = list(self.released)
             beat = Beat(
                 id=self.id,
                 service="s",
@@ -191,47 +199,51 @@
                 cold=0.0,
                 seq=seq,
                 holds=tuple((k, k, f) for k, f in self.held.items()),
-                released=tuple(told),
+                released=tuple(reported),
                 wait=0.5,
             )
-            pause = HEARTBEAT
+            pause = HEARTBEAT_SECONDS
             try:
                 answer = await client.call(beat, timeout=0.9, attempt=0.75)
             except GuavastreamError:
                 pass
             else:
-                self.released = self.released[len(told) :]
+                self.released = self.released[len(reported) :]
                 if answer.rows is not None:
-                    pause = self.take(answer, sent)
+                    pause = self.apply_answer(answer, sent)
             await asyncio.sleep(max(0.0, sent + pause - loop.time()))
 
-    def take(self, answer, sent):
-        # A server that keeps one key in a thousand is enough for a test.
+    def apply_answer(self, answer, sent):
+        """Update the held keys; return the time until the next heartbeat."""
+        # To keep the test fast, only every 997th key is tracked.
         wanted = {}
         for first, last, fence, _ in answer.rows:
             for key in range(0, 65536, 997):
-                if first <= key <= last and fence >= self.seen.get(key, 0):
+                if first <= key <= last and fence >= self.latest_fences.get(key, 0):
                     wanted[key] = fence
-        gone = [key for key in self.held if key not in wanted]
+        dropped = [key for key in self.held if key not in wanted]
         for key, fence in wanted.items():
             if self.held.get(key) != fence:
-                # A fence must be above all that others had for the key.
-                assert fence >= self.log.get(key, 0), f"old fence for {key}"
-                self.log[key] = fence
-            self.seen[key] = fence
+                # A new grant's fence must not be below any earlier fence of the key.
+                assert fence >= self.fence_log.get(key, 0), (
+                    f"outdated fence for key {key}"
+                )
+                self.fence_log[key] = fence
+            self.latest_fences[key] = fence
         self.held = wanted
-        self.until = sent + answer.hold * self.drift
-        self.released += [(key, key, f"t{key}") for key in gone]
-        return 0.1 if gone else HEARTBEAT
+        self.hold_end = sent + answer.hold * self.clock_drift
+        self.released += [(key, key, f"t{key}") for key in dropped]
+        return 0.1 if dropped else HEARTBEAT_SECONDS
 
 
-class Fleet:
-    """Servers at a core, watched for two holders of one key."""
+class SimulatedFleet:
+    """Servers of a control cluster, checked for keys with two holders."""
 
-    def __init__(self, core, count=4):
-        log = {}
+    def __init__(self, cluster, count=4):
+        fence_log = {}
         self.servers = [
-            Server(id=str(n), core=core, log=log) for n in range(1, count + 1)
+            SimulatedServer(id=str(n), cluster=cluster, fence_log=fence_log)
+            for n in range(1, count + 1)
         ]
         self.tasks = {}
 
@@ -243,251 +255,263 @@
         server.held = {}
 
     def holders(self, key):
+        """Return the servers that hold a key now."""
         return [server for server in self.servers if server.holds(key)]
 
-    def check(self):
+    def check_holders(self):
         for key in range(0, 65536, 997):
-            assert len(self.holders(key)) <= 1, f"two hold {key}"
+            assert len(self.holders(key)) <= 1, f"key {key} has two holders"
 
     def is_served(self):
+        """Whether each of the tracked keys has a holder."""
         return all(self.holders(key) for key in range(0, 65536, 997))
 
-    async def watch(self):
+    async def check_continuously(self):
         while True:
-            self.check()
+            self.check_holders()
             await asyncio.sleep(0.02)
 
 
-def play(folder, scenario, **kwargs):
+def run_scenario(folder, scenario, **kwargs):
+    """Run a scenario with four servers that hold all keys at first."""
+
     async def main():
-        core = Core(folder, FakeNetwork(**kwargs))
-        core.start_all()
-        await core.until_full()
-        await core.change(FIRST)
-        fleet = Fleet(core)
+        cluster = ControlCluster(folder, FakeNetwork(**kwargs))
+        cluster.start_all()
+        await cluster.wait_for_voters()
+        await cluster.change(FIRST_CHANGE)
+        fleet = SimulatedFleet(cluster)
         for server in fleet.servers:
             fleet.start(server)
-        watch = asyncio.ensure_future(fleet.watch())
-        await core.until(fleet.is_served)
-        await scenario(core, fleet)
-        assert not watch.done(), watch.exception()
-        for task in (watch, *fleet.tasks.values()):
+        checks = asyncio.ensure_future(fleet.check_continuously())
+        await cluster.until(fleet.is_served)
+        await scenario(cluster, fleet)
+        assert not checks.done(), checks.exception()
+        for task in (checks, *fleet.tasks.values()):
             task.cancel()
 
     run_paused(main())
 
 
-def test_all_keys_are_held_by_all_servers(tmp_path):
-    async def scenario(core, fleet):
+def test_keys_are_spread_over_all_servers(tmp_path):
+    async def scenario(cluster, fleet):
         assert all(len(server.held) >= 8 for server in fleet.servers)
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_lost_server_s_keys_are_held_again_after_its_hold(tmp_path):
-    # The server falls silent; nobody can tell whether it still works. Its
-    # keys go to others only when its hold has run out, and then at once.
-    async def scenario(core, fleet):
-        began = asyncio.get_running_loop().time()
+def test_keys_of_a_lost_server_are_regranted_when_its_hold_expires(tmp_path):
+    # The server stops sending heartbeats, but may still be processing requests. Its
+    # keys must be granted to others only when its hold has expired, and then at once.
+    async def scenario(cluster, fleet):
+        started = asyncio.get_running_loop().time()
         fleet.crash(fleet.servers[0])
-        await core.until(fleet.is_served)
-        assert asyncio.get_running_loop().time() - began < HOLDS.hold + 1.0
+        await cluster.until(fleet.is_served)
+        assert asyncio.get_running_loop().time() - started < HOLD_TIMING.hold + 1.0
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_server_that_surely_ended_makes_room_at_once(tmp_path):
-    # The process beside it finds that nobody listens at its address any more.
-    async def scenario(core, fleet):
-        began = asyncio.get_running_loop().time()
+def test_keys_of_a_server_reported_as_ended_are_regranted_at_once(tmp_path):
+    # The sidecar reports the end when nothing listens at the server's address any
+    # more. The keys need not wait for the end of the hold.
+    async def scenario(cluster, fleet):
+        started = asyncio.get_running_loop().time()
         ended = fleet.servers[0]
         fleet.crash(ended)
-        await core.client().call(
+        await cluster.client().call(
             ReportEnd(id=ended.id, service="s", host="h"), timeout=1.0
         )
-        await core.until(fleet.is_served)
-        assert asyncio.get_running_loop().time() - began < 1.5
+        await cluster.until(fleet.is_served)
+        assert asyncio.get_running_loop().time() - started < 1.5
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_leaving_server_hands_its_keys_over_within_a_second(tmp_path):
-    async def scenario(core, fleet):
+def test_leaving_server_hands_its_keys_over_quickly(tmp_path):
+    async def scenario(cluster, fleet):
         leaving = fleet.servers[0]
         leaving.leaving = True
-        began = asyncio.get_running_loop().time()
-        await core.until(lambda: not leaving.held and fleet.is_served())
-        assert asyncio.get_running_loop().time() - began < 2.5
+        started = asyncio.get_running_loop().time()
+        await cluster.until(lambda: not leaving.held and fleet.is_served())
+        assert asyncio.get_running_loop().time() - started < 2.5
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_new_leader_does_not_give_away_what_the_old_one_granted(tmp_path):
-    # The leader is lost together with a server, right after renewing it. The
-    # next leader does not know when that was, and waits for a whole hold.
-    async def scenario(core, fleet):
+def test_new_leader_respects_the_holds_of_the_previous_leader(tmp_path):
+    # The leader is lost together with a server, right after it renewed the server's
+    # hold. The next leader does not know the time of that renewal, so it must wait
+    # for the duration of a whole hold.
+    async def scenario(cluster, fleet):
         for _ in range(2):
-            leader = core.leader()
+            leader = cluster.leader()
             fleet.crash(fleet.servers[0])
-            core.kill(leader)
-            await core.until(fleet.is_served)
-            core.start(leader, first=False)
+            cluster.kill(leader)
+            await cluster.until(fleet.is_served)
+            cluster.start(leader, first=False)
             fleet.start(fleet.servers[0])
             await asyncio.sleep(3.0)
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_cut_off_server_keeps_its_keys_until_its_hold_ends(tmp_path):
-    # It works on with the keys that it holds, on a clock that runs slow, while
-    # the leader that granted them is lost. Nobody else may have them sooner,
-    # and after that they are held by others.
-    async def scenario(core, fleet):
+def test_partitioned_server_keeps_its_keys_until_its_hold_expires(tmp_path):
+    # The server continues to work with its keys, on a clock that runs slow, while it
+    # is partitioned and the leader that granted them may be lost. No other server
+    # may get the keys before its hold has expired; after that others must.
+    async def scenario(cluster, fleet):
         cut_off = fleet.servers[0]
         for leader_lost in (False, True):
-            core.network.isolate(f"10.9.0.{cut_off.id}:1", core.addresses)
+            cluster.network.isolate(f"10.9.0.{cut_off.id}:1", cluster.addresses)
             if leader_lost:
-                core.kill(core.leader())
-            await core.until(lambda: not cut_off.holds(next(iter(cut_off.held), 0)))
-            await core.until(fleet.is_served)
-            core.network.heal()
-            await core.until(lambda: cut_off.until > asyncio.get_running_loop().time())
-            await core.until(lambda: bool(cut_off.held), seconds=20.0)
+                cluster.kill(cluster.leader())
+            await cluster.until(lambda: not cut_off.holds(next(iter(cut_off.held), 0)))
+            await cluster.until(fleet.is_served)
+            cluster.network.heal()
+            await cluster.until(
+                lambda: cut_off.hold_end > asyncio.get_running_loop().time()
+            )
+            await cluster.until(lambda: bool(cut_off.held), seconds=20.0)
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_one_holder_while_messages_are_lost_and_hosts_cut(tmp_path):
-    async def scenario(core, fleet):
+def test_keys_have_one_holder_under_message_loss_and_partitions(tmp_path):
+    async def scenario(cluster, fleet):
         rng = random.Random(5)
         for _ in range(6):
-            cut = rng.choice(core.addresses)
-            core.network.isolate(cut, core.addresses)
+            cut = rng.choice(cluster.addresses)
+            cluster.network.isolate(cut, cluster.addresses)
             await asyncio.sleep(rng.uniform(0.5, 4.0))
-            core.network.heal()
+            cluster.network.heal()
             server = rng.choice(fleet.servers)
             fleet.crash(server)
             await asyncio.sleep(rng.uniform(0.1, 3.0))
             fleet.start(server)
-        await core.until(fleet.is_served, seconds=20.0)
+        await cluster.until(fleet.is_served, seconds=20.0)
 
-    play(tmp_path, scenario, seed=3, lost=0.02, doubled=0.02, slowest=0.02)
+    run_scenario(tmp_path, scenario, seed=3, lost=0.02, doubled=0.02, slowest=0.02)
 
 
-def test_wiped_hosts_come_back_as_new_voters(tmp_path):
-    # Two hosts lose their disks right after an acknowledgement, one after the
-    # other; each comes back at its address without its old promises.
-    async def scenario(core, fleet):
-        for number, address in enumerate(core.addresses[:2]):
-            second = FIRST.__class__(
+def test_hosts_with_lost_disks_rejoin_as_new_voters(tmp_path):
+    # Two hosts, one after the other, lose their disks right after a change was
+    # acknowledged. Each comes back at the same address without its earlier votes
+    # and log entries, and must not count as the same voter.
+    async def scenario(cluster, fleet):
+        for number, address in enumerate(cluster.addresses[:2]):
+            second = FIRST_CHANGE.__class__(
                 base=number + 1,
                 version=number + 2,
                 digest=b"%d" % number,
                 whole=False,
             )
-            assert (await core.change(second)).code == "ok"
-            core.kill(address)
-            core.start(address, first=False, disk=f"empty-{number}")
-            await core.until_full()
+            assert (await cluster.change(second)).code == "ok"
+            cluster.kill(address)
+            cluster.start(address, first=False, disk=f"empty-{number}")
+            await cluster.wait_for_voters()
             await asyncio.sleep(4.0)
-            assert await core.read() == number + 2
-        voters = core.rafts[core.leader()].voters
-        assert sorted(voters.values()) == sorted(core.addresses)
+            assert await cluster.read() == number + 2
+        voters = cluster.rafts[cluster.leader()].voters
+        assert sorted(voters.values()) == sorted(cluster.addresses)
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_replaced_host_makes_room_for_its_successor(tmp_path):
-    async def scenario(core, fleet):
-        lost = core.addresses[1]
-        core.kill(lost)
-        core.start("10.0.0.9:1", first=False)
+def test_replacement_host_takes_the_vote_of_a_lost_host(tmp_path):
+    async def scenario(cluster, fleet):
+        lost = cluster.addresses[1]
+        cluster.kill(lost)
+        cluster.start("10.0.0.9:1", first=False)
 
         def replaced():
-            leader = core.leader()
-            voters = core.rafts[leader].voters.values() if leader else ()
+            leader = cluster.leader()
+            voters = cluster.rafts[leader].voters.values() if leader else ()
             return "10.0.0.9:1" in voters and lost not in voters
 
-        await core.until(replaced, seconds=20.0)
-        assert await core.read() == 1
+        await cluster.until(replaced, seconds=20.0)
+        assert await cluster.read() == 1
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_no_change_is_taken_on_fewer_disks_than_may_be_lost(tmp_path):
+def test_changes_are_refused_without_enough_voters_to_survive_losses(tmp_path):
     async def main():
-        core = Core(tmp_path, FakeNetwork(), count=3)
-        core.start_all()
-        await core.until(core.leader)
+        cluster = ControlCluster(tmp_path, FakeNetwork(), count=3)
+        cluster.start_all()
+        await cluster.until(cluster.leader)
         try:
-            await core.client().submit(FIRST, timeout=1.0)
+            await cluster.client().submit(FIRST_CHANGE, timeout=1.0)
         except GuavastreamError as error:
             assert error.code == "not_ready"
         else:
-            raise AssertionError("taken on two disks")
+            raise AssertionError("the change was accepted on two disks")
 
     run_paused(main())
 
 
-def test_a_watch_is_not_answered_before_there_is_news(tmp_path):
-    # Each heartbeat of the leader woke whoever watched a follower: 16 answers
-    # a second without news for each host, half of what an idle host did.
+def test_watch_is_not_answered_without_a_change(tmp_path):
+    # Guards against watches of a follower that are answered at each heartbeat of the
+    # leader. That caused 16 empty answers per second for each host, half of the work
+    # of an idle host.
     async def main():
         loop = asyncio.get_running_loop()
-        core = Core(tmp_path, FakeNetwork())
-        core.start_all()
-        await core.until_full()
-        await core.change(FIRST)
+        cluster = ControlCluster(tmp_path, FakeNetwork())
+        cluster.start_all()
+        await cluster.wait_for_voters()
+        await cluster.change(FIRST_CHANGE)
         await asyncio.sleep(1.0)
-        for address, raft in core.rafts.items():
-            began = loop.time()
-            client = core.client()
+        for address, raft in cluster.rafts.items():
+            started = loop.time()
+            client = cluster.client()
             request = Watch(index=raft.applied, wait=0.6)
-            turn = core.addresses.index(address)
-            answer = await client.call_any(turn, request, timeout=1.0)
-            assert not answer.commands and loop.time() - began >= 0.6
+            position = cluster.addresses.index(address)
+            answer = await client.call_any(position, request, timeout=1.0)
+            assert not answer.commands and loop.time() - started >= 0.6
 
     run_paused(main())
 
 
 @pytest.mark.parametrize("leads", [False, True])
-def test_a_watch_ends_once_no_leader_is_heard(tmp_path, leads):
-    # A control host was cut off from the others. Whoever waited there for news
-    # learned only at the end of the wait that it hears no leader, while a change
-    # was acknowledged by the others: 0.8 s of the 2 s in which it is to be in force.
+def test_watch_ends_when_the_leader_is_unreachable(tmp_path, leads):
+    # A control host is partitioned from the others, which acknowledge a change. If a
+    # watch there ended only at its timeout, the watcher would lose 0.8 s of the 2 s
+    # within which a change must be in force.
     async def main():
         loop = asyncio.get_running_loop()
-        core = await start_core(tmp_path)
-        leader = core.leader()
-        away = leader if leads else next(a for a in core.addresses if a != leader)
-        index = core.rafts[away].applied
-        core.network.isolate(away, core.addresses)
-        began = loop.time()
-        turn = core.addresses.index(away)
+        cluster = await start_control_cluster(tmp_path)
+        leader = cluster.leader()
+        partitioned = (
+            leader if leads else next(a for a in cluster.addresses if a != leader)
+        )
+        index = cluster.rafts[partitioned].applied
+        cluster.network.isolate(partitioned, cluster.addresses)
+        started = loop.time()
+        position = cluster.addresses.index(partitioned)
         with pytest.raises(PeerFailure):
-            await core.client().call_any(
-                turn, Watch(index=index, wait=10.0), timeout=11.0
+            await cluster.client().call_any(
+                position, Watch(index=index, wait=10.0), timeout=11.0
             )
-        assert loop.time() - began <= MAX_STATE_AGE_SECONDS + TIMING.heartbeat
+        assert loop.time() - started <= MAX_STATE_AGE_SECONDS + TIMING.heartbeat
 
     run_paused(main())
 
 
-def test_a_watch_waits_for_news_after_a_change_of_leader(tmp_path):
-    # A new leader commits an entry that says only that it leads. Watches took it
-    # for news and were answered at once, as often as they came, until somebody
-    # changed something: each host asked a thousand times a second.
+def test_watch_waits_for_a_change_after_an_election(tmp_path):
+    # A new leader commits an entry that changes nothing in the table. If watches took
+    # it for a change, they would be answered at once until the next real change, and
+    # each host would ask a thousand times per second.
     async def main():
         loop = asyncio.get_running_loop()
-        core = await start_core(tmp_path)
-        core.kill(core.leader())
-        await core.until(core.leader)
+        cluster = await start_control_cluster(tmp_path)
+        cluster.kill(cluster.leader())
+        await cluster.until(cluster.leader)
         await asyncio.sleep(1.0)
-        for address, raft in core.rafts.items():
-            turn = core.addresses.index(address)
+        for address, raft in cluster.rafts.items():
+            position = cluster.addresses.index(address)
             watch = Watch(index=raft._machine.table.index, wait=0.5)
-            began = loop.time()
-            await core.client().call_any(turn, watch, timeout=1.0)
-            assert loop.time() - began >= 0.5
+            started = loop.time()
+            await cluster.client().call_any(position, watch, timeout=1.0)
+            assert loop.time() - started >= 0.5
 
     run_paused(main())
--- a/guavastream/control/tests/test_grants.py
+++ b/guavastream/control/tests/test_grants.py
@@ -1,12 +1,12 @@
-"""Heartbeats that come while the book is being changed."""
+"""Heartbeats that arrive while commands are being committed or the leader is lost."""
 
 import asyncio
 
 import pytest
 
-from guavastream.control import TableMachine
-from guavastream.control.grants import Granter
-from guavastream.control.tests.test_fleet import FIRST
+from guavastream.control import TableStateMachine
+from guavastream.control.grants import GrantManager
+from guavastream.control.tests.test_fleet import FIRST_CHANGE
 from guavastream.emulator import run_paused
 from guavastream.exception import NotLeader
 from guavastream.fleet import (
@@ -20,12 +20,12 @@
 )
 from guavastream.leases import HoldTiming
 
-HOLDS = HoldTiming(hold=2.8, settle=1.0)
+HOLD_TIMING = HoldTiming(hold=2.8, settle=1.0)
 COMMIT_SECONDS = 0.05
 
 
-class SlowLog:
-    """A leader whose commits take a while."""
+class SlowRaft:
+    """A leader whose commits take `COMMIT_SECONDS`."""
 
     is_leader, term, leader_address = True, 1, ""
 
@@ -61,13 +61,15 @@
     )
 
 
-def start():
-    """Return a leader and its granter; server `a` holds all keys."""
+def start_leader():
+    """Return a leader and its grant manager; server `a` holds all keys."""
     loop = asyncio.get_running_loop()
-    machine = TableMachine(codec=BookCodec())
-    raft = SlowLog(machine)
-    granter = Granter(raft=raft, machine=machine, clock=loop.time, timing=HOLDS)
-    raft.commit(FIRST)
+    machine = TableStateMachine(codec=BookCodec())
+    raft = SlowRaft(machine)
+    grant_manager = GrantManager(
+        raft=raft, machine=machine, clock=loop.time, timing=HOLD_TIMING
+    )
+    raft.commit(FIRST_CHANGE)
     raft.commit(
         JoinInstance(
             id="a",
@@ -80,44 +82,47 @@
         )
     )
     raft.commit(GrantKeys(service="s", rows=((0, KEYS - 1, "a"),)))
-    return raft, granter
+    return raft, grant_manager
 
 
 @pytest.mark.parametrize("ended", [False, True])
-def test_a_server_that_comes_back_while_it_is_removed_is_not_renewed(ended):
-    # Its host was restarted, and its hold ran out meanwhile. The leader takes
-    # it out; before that is committed its next heartbeat comes. Renewed, it
-    # would hold its keys for 2.8 s beside the server that gets them next.
+def test_server_returning_during_its_removal_is_not_renewed(ended):
+    # A server's host restarts while the server's hold expires. The next heartbeat
+    # arrives while the leader commits the server's removal. If it were renewed, the
+    # server would hold its keys for 2.8 s together with their next owner.
     async def main():
-        raft, granter = start()
-        assert (await granter.beat(heartbeat(1))).rows
+        raft, grant_manager = start_leader()
+        assert (await grant_manager.answer_heartbeat(heartbeat(1))).rows
         if ended:
             removing = asyncio.ensure_future(
-                granter.end(ReportEnd(id="a", service="s", host="h"))
+                grant_manager.remove_ended(ReportEnd(id="a", service="s", host="h"))
             )
         else:
-            await asyncio.sleep(HOLDS.kept + 0.1)
-            removing = asyncio.ensure_future(granter._expire())
+            await asyncio.sleep(HOLD_TIMING.kept + 0.1)
+            removing = asyncio.ensure_future(grant_manager._remove_expired())
         await asyncio.sleep(COMMIT_SECONDS / 2)
-        answer = await granter.beat(heartbeat(2))
+        answer = await grant_manager.answer_heartbeat(heartbeat(2))
         assert answer.rows is None and not answer.hold
         await removing
         assert raft.machine.table.owner_of("s", 7) is None
-        # Afterwards it joins again, with no keys.
-        assert (await granter.beat(heartbeat(3))).rows == ()
+        # After the removal the server joins again, without keys.
+        assert (await grant_manager.answer_heartbeat(heartbeat(3))).rows == ()
 
     run_paused(main())
 
 
-def test_a_heartbeat_that_waits_at_a_lost_leader_is_told_so():
-    # A heartbeat is held back while there is nothing new to say. The leader steps
-    # down meanwhile; told only when the time of the heartbeat is over, its host
-    # would come to the next leader half a second later, with a hold that runs out.
+def test_waiting_heartbeat_fails_at_once_when_leadership_is_lost():
+    # The answer to a heartbeat waits until there is a change, and the leader steps
+    # down during that wait. If the heartbeat failed only at the end of the wait, its
+    # host would reach the next leader half a second later, with a hold about to
+    # expire.
     async def main():
-        raft, granter = start()
-        ticks = asyncio.ensure_future(granter.run())
-        assert (await granter.beat(heartbeat(1))).rows
-        waiting = asyncio.ensure_future(granter.beat(heartbeat(2, wait=2.0)))
+        raft, grant_manager = start_leader()
+        ticks = asyncio.ensure_future(grant_manager.run())
+        assert (await grant_manager.answer_heartbeat(heartbeat(1))).rows
+        waiting = asyncio.ensure_future(
+            grant_manager.answer_heartbeat(heartbeat(2, wait=2.0))
+        )
         await asyncio.sleep(0.5)
         assert not waiting.done()
         raft.is_leader = False
--- a/guavastream/control/tests/test_pauses.py
+++ b/guavastream/control/tests/test_pauses.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from guavastream.control import ControlService, Planner, TableMachine
+from guavastream.control import ControlService, Planner, TableStateMachine
 from guavastream.control.tests.test_raft import with_group
 from guavastream.emulator import run_paused
 from guavastream.exception import NotLeader
@@ -25,7 +25,7 @@
     raft = group.rafts[address]
     clock = asyncio.get_running_loop().time
     keeper = LeaseKeeper(clock=clock, timing=TIMING)
-    machine = TableMachine()
+    machine = TableStateMachine()
     planner = Planner(
         raft=raft, machine=machine, keeper=keeper, record=lambda kind, **fields: None
     )
--- a/guavastream/control/tests/test_planner.py
+++ b/guavastream/control/tests/test_planner.py
@@ -1,8 +1,8 @@
-"""What a leader gives away, and what it must not."""
+"""Assignment of shards by the leader, and the leases it must respect."""
 
 import asyncio
 
-from guavastream.control import Planner, TableMachine
+from guavastream.control import Planner, TableStateMachine
 from guavastream.emulator import run_paused
 from guavastream.leases import LeaseKeeper, LeaseTiming
 from guavastream.state import (
@@ -17,7 +17,7 @@
 
 
 class FakeRaft:
-    """Commits at once what is proposed, under a term set by the test."""
+    """Commits each proposal at once, in a term that the test sets."""
 
     def __init__(self, machine):
         self.machine = machine
@@ -31,9 +31,11 @@
         return self.machine.apply(self.machine.table.index + 1, data)
 
 
-class Rig:
+class PlannerHarness:
+    """A running planner for two members; member 2 owns all shards if `assigned`."""
+
     def __init__(self, *, assigned=True):
-        self.machine = TableMachine()
+        self.machine = TableStateMachine()
         commands = [declare(), register("h1"), register("h2")]
         if assigned:
             commands.append(AssignShards(service="s", shards=ALL, members=(2,) * 8))
@@ -63,91 +65,95 @@
             await asyncio.sleep(0.05)
 
 
-def test_new_leader_gives_nothing_away_before_a_full_lease():
-    """A leader is elected that never heard of the leases of the one before.
+def test_new_leader_reassigns_no_shards_before_a_full_lease_has_passed():
+    """A new leader does not know the leases that the previous leader renewed.
 
-    Their holders may be cut off from it and still serve, so what they own
-    must not go to others before the longest of those leases is over.
+    Members with such a lease may be partitioned from the new leader and still serve
+    requests, so their shards must not be reassigned before the longest of these
+    leases has expired.
     """
 
     async def scenario():
-        rig = Rig()
-        await rig.renew_for(TIMING.duration - 0.05, [3])
-        assert rig.owners == {2}
-        await rig.renew_for(0.2, [3])
-        assert rig.owners == {3}
+        harness = PlannerHarness()
+        await harness.renew_for(TIMING.duration - 0.05, [3])
+        assert harness.owners == {2}
+        await harness.renew_for(0.2, [3])
+        assert harness.owners == {3}
 
     run_paused(scenario())
 
 
-def test_leader_elected_again_waits_again():
-    """The lead goes away and comes back; meanwhile another one renewed."""
+def test_reelected_leader_waits_for_a_full_lease_again():
+    """Another leader may have renewed leases between two terms of a leader."""
 
     async def scenario():
-        rig = Rig()
-        await rig.renew_for(TIMING.duration - 0.05, [3])
-        rig.raft.term = 3
-        rig.raft.predecessor_end = asyncio.get_running_loop().time()
-        await rig.renew_for(TIMING.duration - 0.05, [3])
-        assert rig.owners == {2}
+        harness = PlannerHarness()
+        await harness.renew_for(TIMING.duration - 0.05, [3])
+        harness.raft.term = 3
+        harness.raft.predecessor_end = asyncio.get_running_loop().time()
+        await harness.renew_for(TIMING.duration - 0.05, [3])
+        assert harness.owners == {2}
 
     run_paused(scenario())
 
 
-def test_renewal_after_expiry_does_not_bring_the_lease_back():
-    """A member is paused for longer than its lease and then renews.
+def test_expired_lease_cannot_be_renewed():
+    """A member is paused for longer than its lease and then renews it.
 
-    Its removal may be committing at that moment; renewing would leave two
-    owners with a valid lease.
+    The member's removal may be being committed at that moment, so a renewal would
+    leave two owners with a valid lease.
     """
 
     async def scenario():
-        rig = Rig()
-        await rig.renew_for(0.1, [2, 3])
-        await rig.renew_for(TIMING.duration + 0.1, [3])
-        assert not rig.keeper.renew(2)
-        assert RemoveMembers(members=(2,)) in rig.raft.commands
+        harness = PlannerHarness()
+        await harness.renew_for(0.1, [2, 3])
+        await harness.renew_for(TIMING.duration + 0.1, [3])
+        assert not harness.keeper.renew(2)
+        assert RemoveMembers(members=(2,)) in harness.raft.commands
 
     run_paused(scenario())
 
 
-def test_leader_without_its_lease_decides_nothing():
-    """A leader is cut off; others may have given its members' shards away."""
+def test_leader_that_lost_leadership_changes_nothing():
+    """A leader is partitioned; another one may have reassigned the shards."""
 
     async def scenario():
-        rig = Rig()
-        await rig.renew_for(0.1, [2, 3])
-        rig.raft.is_leader = False
+        harness = PlannerHarness()
+        await harness.renew_for(0.1, [2, 3])
+        harness.raft.is_leader = False
         await asyncio.sleep(5)
-        assert rig.owners == {2}
+        assert harness.owners == {2}
 
     run_paused(scenario())
 
 
-def test_loss_of_the_only_owner_is_not_waited_out():
-    """The one server that owned everything is lost; another one is there.
+def test_shards_of_a_lost_sole_owner_are_reassigned_at_once():
+    """The server that owned all shards is lost while another one is present.
 
-    The wait for a service's first servers must not delay its recovery.
+    The wait for the first servers of a service must not delay the recovery.
     """
 
     async def scenario():
-        rig = Rig()
-        rig.planner.ensure_term()
-        rig.keeper.release(2)
-        await rig.renew_for(0.1, [3])
-        assert rig.owners == {3}
+        harness = PlannerHarness()
+        harness.planner.ensure_term()
+        harness.keeper.release(2)
+        await harness.renew_for(0.1, [3])
+        assert harness.owners == {3}
 
     run_paused(scenario())
 
 
-def test_first_servers_are_waited_for_before_shards_are_handed_out():
-    """Servers of a new service join one after the other within a moment."""
+def test_shards_of_a_new_service_are_assigned_after_its_servers_have_joined():
+    """The servers of a new service join one after another within a short time.
+
+    Without a wait, the first one would receive all shards.
+    """
 
     async def scenario():
-        rig = Rig(assigned=False)
-        await rig.renew_for(0.1, [2, 3])
-        assert rig.owners == {0}
-        await rig.renew_for(0.5, [2, 3])
-        assert rig.owners == {2, 3}
+        harness = PlannerHarness(assigned=False)
+        await harness.renew_for(0.1, [2, 3])
+        assert harness.owners == {0}
+        await harness.renew_for(0.5, [2, 3])
+        assert harness.owners == {2, 3}
 
     run_paused(scenario())
--- a/guavastream/control/tests/test_power.py
+++ b/guavastream/control/tests/test_power.py
@@ -15,7 +15,7 @@
 import pytest
 
 from guavastream.control import Storage
-from guavastream.control.tests.test_fleet import FIRST, ROUTE, Core
+from guavastream.control.tests.test_fleet import FIRST_CHANGE, ROUTE, ControlCluster
 from guavastream.emulator import FakeNetwork, run_paused
 from guavastream.exception import GuavastreamError
 from guavastream.fleet import ChangeRoutes
@@ -122,7 +122,7 @@
         self._power.sync_folder(self._folder)
 
 
-class PoweredCore(Core):
+class PoweredCore(ControlCluster):
     """Control hosts that share one power supply."""
 
     def __init__(self, folder, power):
@@ -144,8 +144,8 @@
     """Make a change while the power fails; return the last accepted version."""
     core = PoweredCore(folder, power)
     core.start_all()
-    await core.until_full(VOTERS)
-    await core.change(FIRST)
+    await core.wait_for_voters(VOTERS)
+    await core.change(FIRST_CHANGE)
     # Let all voters write the first change.
     await asyncio.sleep(2.0)
     power.steps_left = steps
@@ -159,12 +159,12 @@
     changing.cancel()
     for address in list(core.rafts):
         core.kill(address)
-    return accepted or FIRST.version
+    return accepted or FIRST_CHANGE.version
 
 
 async def read_after_restart(folder, power, lost, *, torn):
     """Restart all hosts without the `lost` disks; return the version in force."""
-    core = Core(folder, FakeNetwork(seed=2), count=VOTERS)
+    core = ControlCluster(folder, FakeNetwork(seed=2), count=VOTERS)
     for number, address in enumerate(core.addresses):
         disk = f"{address}-again"
         if number not in lost:
--- a/guavastream/control/watching.py
+++ b/guavastream/control/watching.py
@@ -19,7 +19,7 @@
     ----------
     raft : Raft
         This voter; signals when an entry was applied.
-    machine : TableMachine
+    machine : TableStateMachine
         The state machine that holds the table.
     clock : callable
         Monotonic time in seconds.
@@ -50,7 +50,7 @@
         if isinstance(request, ReadPart):
             return self._parts.read(request)
         known = await self._wait(request, hosts, staleness_delay)
-        table, commands = self._machine.news(request.index)
+        table, commands = self._machine.updates_since(request.index)
         return self.split_answer(Watched(table=table, commands=commands, hosts=known))
 
     async def _wait(self, request, hosts, staleness_delay):
--- a/guavastream/experiment/model.py
+++ b/guavastream/experiment/model.py
@@ -15,7 +15,7 @@
 from guavastream.control.loads import KeyLoads
 from guavastream.fleet import KEYS, Instance, Run, cut_runs, find_run
 from guavastream.kernel import Policy, Signal, TimeLimit, replace
-from guavastream.placement import RunView, plan_runs
+from guavastream.placement import KeyRangeView, plan_key_ranges
 from guavastream.relay import AdmissionQueue, NotRun, Picker, Report, RetryBudget
 from guavastream.relay.ingress import (
     BOOK_POLL_SECONDS,
@@ -540,9 +540,9 @@
             if not server.instance.leaving:
                 seconds = server.gate.seconds or 1 / 8
                 capacity[server.instance.id] = service.slots / seconds
-        loads = self._loads[name].read()
+        loads = self._loads[name].current_loads()
         moving = self._moving[name]
-        view = RunView(
+        view = KeyRangeView(
             runs=self._runs[name],
             capacity=capacity,
             load=loads.busy,
@@ -550,7 +550,7 @@
             moving=dict(moving),
             policy=self._policy,
         )
-        plan = plan_runs(view)
+        plan = plan_key_ranges(view)
         self._grant(name, plan.grants)
         for first, last, target in plan.moves:
             moving[first, last] = target
--- a/guavastream/hosts/control_host.py
+++ b/guavastream/hosts/control_host.py
@@ -4,11 +4,11 @@
 import random
 
 from guavastream.control.fleet import FleetService, VoterKeeper
-from guavastream.control.grants import Granter
-from guavastream.control.machine import TableMachine
+from guavastream.control.grants import GrantManager
+from guavastream.control.machine import TableStateMachine
 from guavastream.control.raft import Raft
 from guavastream.control.storage import Storage
-from guavastream.control.suspects import SuspectKeeper
+from guavastream.control.suspects import SuspectManager
 from guavastream.control.voter import RaftTiming
 from guavastream.fleet import BookCodec, ChangedRoutes, LiftSuspects, ReadRoutes
 from guavastream.hosts.tasks import Tasks
@@ -51,7 +51,7 @@
         self._control = ControlClient(
             transport=self._transport, addresses=settings.seeds
         )
-        machine = TableMachine(codec=BookCodec())
+        machine = TableStateMachine(codec=BookCodec())
         self._machine = machine
         self._raft = Raft(
             storage=Storage(folder=settings.data),
@@ -66,7 +66,7 @@
             clock=steady_time,
             may_form=settings.first_start,
         )
-        self._granter = Granter(
+        self._granter = GrantManager(
             raft=self._raft,
             machine=machine,
             clock=steady_time,
@@ -80,7 +80,7 @@
             address=settings.peer,
             wanted=settings.wanted_voters,
         )
-        self._suspects = SuspectKeeper(
+        self._suspects = SuspectManager(
             raft=self._raft, machine=machine, clock=steady_time
         )
         service = FleetService(
--- a/guavastream/hosts/tests/orders.py
+++ b/guavastream/hosts/tests/orders.py
@@ -4,7 +4,7 @@
 import random
 from dataclasses import dataclass, field
 
-from guavastream.control.tests.test_fleet import FIRST, Core
+from guavastream.control.tests.test_fleet import FIRST_CHANGE, ControlCluster
 from guavastream.emulator import FakeNetwork, run_paused
 from guavastream.exception import GuavastreamError
 from guavastream.fleet import Beat, BookCodec, LoadReport, ReportEnd
@@ -25,12 +25,12 @@
 SLOW_CLOCK = 1.02
 HEARTBEAT = 0.87
 HOLDS = HoldTiming(hold=2.8, settle=0.5)
-CALLED = FIRST.__class__(
+CALLED = FIRST_CHANGE.__class__(
     base=0,
     version=1,
     digest=b"called",
     whole=True,
-    routes=FIRST.routes,
+    routes=FIRST_CHANGE.routes,
     services=(ServiceRules(name="s", keyed=True, granting=Granting.CALL),),
 )
 
@@ -285,7 +285,7 @@
     async def run(self, scenario):
         """Start everything, play a scenario, and see that no key was shared."""
         self.core.start_all()
-        await self.core.until_full()
+        await self.core.wait_for_voters()
         await self._configure()
         for place in self.places:
             place.start_server()
@@ -315,7 +315,7 @@
     """
 
     async def main():
-        core = Core(folder, FakeNetwork(seed=seed, **network))
+        core = ControlCluster(folder, FakeNetwork(seed=seed, **network))
         fleet = OrderedFleet(core, count=count, seed=seed, fate=fate, late=late)
         await fleet.run(scenario)
         return fleet
--- a/guavastream/hosts/tests/rig.py
+++ b/guavastream/hosts/tests/rig.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from guavastream.control.tests.test_fleet import Core
+from guavastream.control.tests.test_fleet import ControlCluster
 from guavastream.emulator import DialectServer, FakeNetwork, FakePeers, run_paused
 from guavastream.exception import GuavastreamError
 from guavastream.fleet import Beat, ChangeRoutes
@@ -254,7 +254,7 @@
     def __init__(self, folder, *, pages=6, orders=4, seed=1):
         self.rng = random.Random(seed)
         self.network = FakeNetwork(seed=seed)
-        self.core = Core(folder, self.network)
+        self.core = ControlCluster(folder, self.network)
         names = ["pages"] * pages + ["orders"] * orders
         self.places = [Place(self, n, service) for n, service in enumerate(names, 1)]
         self.caller = Caller()
@@ -269,7 +269,7 @@
     async def start(self):
         """Start everything and wait until all keys have owners."""
         self.core.start_all()
-        await self.core.until_full()
+        await self.core.wait_for_voters()
         await self.core.change(CONFIG)
         for place in self.places:
             await place.start_process()
--- a/guavastream/hosts/tests/test_book_follower.py
+++ b/guavastream/hosts/tests/test_book_follower.py
@@ -21,7 +21,7 @@
 import msgspec
 import pytest
 
-from guavastream.control.tests.test_fleet import start_core
+from guavastream.control.tests.test_fleet import start_control_cluster
 from guavastream.emulator import run_paused
 from guavastream.fleet import Book, BookCodec, ChangeRoutes
 from guavastream.hosts.book_follower import BookFollower
@@ -104,7 +104,7 @@
 def test_a_large_change_is_in_force_in_time_behind_a_narrow_link(tmp_path):
     # The answer takes 1.6 s as it stands; it was waited for 1.0 s.
     async def main():
-        core = await start_core(tmp_path)
+        core = await start_control_cluster(tmp_path)
         host = Host(core)
         await host.until_in_force(1, 1.0)
         core.network.narrow(HOST, NARROW)
@@ -117,7 +117,7 @@
 def test_a_new_host_gets_a_large_book_behind_a_narrow_link(tmp_path):
     # The whole book takes 1.6 s as it stands; it was waited for 0.7 s.
     async def main():
-        core = await start_core(tmp_path)
+        core = await start_control_cluster(tmp_path)
         await core.change(large_change())
         core.network.narrow(HOST, NARROW)
         host = Host(core)
@@ -131,7 +131,7 @@
     # what has changed since with it. A host that took one after the other would
     # answer its first callers by routes that were replaced long before.
     async def main():
-        core = await start_core(tmp_path)
+        core = await start_control_cluster(tmp_path)
         await asyncio.sleep(1.0)
         for turn in range(len(core.addresses)):
             first = Watch(index=0, wait=0.0)
@@ -150,7 +150,7 @@
     # Bodies of requests leave 20 KB a second of the link: the 50 KB of the
     # change take 2.5 s at best, and whatever is sent in vain comes on top.
     async def main():
-        core = await start_core(tmp_path)
+        core = await start_control_cluster(tmp_path)
         host = Host(core)
         await host.until_in_force(1, 1.0)
         core.network.narrow(HOST, NARROW / 12)
@@ -189,7 +189,7 @@
     # all requests there; it must say so once, ask elsewhere, and never go back.
     async def main():
         random.seed(1)
-        core = await start_core(tmp_path)
+        core = await start_control_cluster(tmp_path)
         odd = core.addresses[0]
         core.network.serve(odd, answer_always(core.network.handler_of(odd), answer))
         hosts = [Host(core) for _ in range(5)]
--- a/guavastream/hosts/tests/test_cut_off.py
+++ b/guavastream/hosts/tests/test_cut_off.py
@@ -5,7 +5,11 @@
 
 import pytest
 
-from guavastream.control.tests.test_fleet import HEARTBEAT, HOLDS, start_core
+from guavastream.control.tests.test_fleet import (
+    HEARTBEAT_SECONDS,
+    HOLD_TIMING,
+    start_control_cluster,
+)
 from guavastream.emulator import run_paused
 from guavastream.exception import GuavastreamError, PeerFailure
 from guavastream.fleet import Beat, BookCodec
@@ -78,7 +82,7 @@
             else:
                 self.answered.append(loop.time())
                 holds = tuple(row[:3] for row in answer.rows or ())
-            await asyncio.sleep(HEARTBEAT)
+            await asyncio.sleep(HEARTBEAT_SECONDS)
 
     def longest_silence(self):
         """Return the longest time without an answered heartbeat, seconds."""
@@ -87,7 +91,7 @@
 
 
 async def start(tmp_path, *, relays=HOSTS):
-    core = await start_core(tmp_path)
+    core = await start_control_cluster(tmp_path)
     hosts = [Host(core, address, relays=relays) for address in HOSTS]
     await asyncio.sleep(5.0)
     return core, hosts
@@ -103,7 +107,7 @@
         core, (cut, *_) = await start(tmp_path, relays=relays)
         core.network.isolate(CUT, core.addresses)
         await asyncio.sleep(10.0)
-        assert (cut.longest_silence() < HOLDS.hold) == kept
+        assert (cut.longest_silence() < HOLD_TIMING.hold) == kept
         leader = core.rafts[core.leader()]
         owners = {run.owner for run in leader._machine.table.runs_of("s")}
         assert (CUT in owners) == kept
--- a/guavastream/hosts/tests/test_in_force.py
+++ b/guavastream/hosts/tests/test_in_force.py
@@ -19,7 +19,11 @@
 
 import pytest
 
-from guavastream.control.tests.test_fleet import FIRST, Core, start_core
+from guavastream.control.tests.test_fleet import (
+    FIRST_CHANGE,
+    ControlCluster,
+    start_control_cluster,
+)
 from guavastream.emulator import FakeNetwork, run_paused
 from guavastream.fleet import BookCodec, ChangeRoutes
 from guavastream.hosts.book_follower import BookFollower
@@ -115,7 +119,9 @@
         Seconds for which a message waits on the link of each host.
     """
     random.seed(1)
-    core = await start_core(folder, count=count, timing=TIMING, losses=len(minority))
+    core = await start_control_cluster(
+        folder, count=count, timing=TIMING, losses=len(minority)
+    )
     hosts = [Host(core, number, first=number) for number in range(count)]
     minority = [core.addresses[number] for number in minority]
     majority = [a for a in core.addresses if a not in minority]
@@ -174,7 +180,7 @@
     # next one at once, all of them, would use up what control hosts need to elect.
     async def main():
         random.seed(1)
-        core = await start_core(tmp_path, timing=TIMING)
+        core = await start_control_cluster(tmp_path, timing=TIMING)
         asked = []
         for address in core.addresses:
             core.network.isolate(address, core.addresses)
@@ -200,7 +206,7 @@
     return handle
 
 
-class StallingCore(Core):
+class StallingCore(ControlCluster):
     """Control hosts of which one has a disk that hangs."""
 
     stalled = None
@@ -225,8 +231,8 @@
         random.seed(1)
         core = StallingCore(tmp_path, FakeNetwork(seed=1), timing=TIMING)
         core.start_all()
-        await core.until_full()
-        await core.change(FIRST)
+        await core.wait_for_voters()
+        await core.change(FIRST_CHANGE)
         hosts = [Host(core, number, first=number) for number in range(5)]
         for host in hosts:
             await core.until(lambda host=host: host.books.table.config.version == 1)
--- a/guavastream/hosts/tests/test_pace.py
+++ b/guavastream/hosts/tests/test_pace.py
@@ -10,7 +10,7 @@
 
 import asyncio
 
-from guavastream.control.machine import TableMachine
+from guavastream.control.machine import TableStateMachine
 from guavastream.control.watching import WatchService
 from guavastream.emulator import FakeNetwork, run_paused
 from guavastream.fleet import BookCodec, JoinInstance, LeaveInstance, encode_command
@@ -62,7 +62,7 @@
 def start(*, hosts):
     """Return the log of control hosts that know so many servers, and a follower."""
     network = FakeNetwork(seed=1)
-    machine = TableMachine(codec=BookCodec())
+    machine = TableStateMachine(codec=BookCodec())
     log = Log(machine)
     clock = asyncio.get_running_loop().time
     desk = WatchService(raft=log, machine=machine, clock=clock)
--- a/guavastream/hosts/tests/test_power_returns.py
+++ b/guavastream/hosts/tests/test_power_returns.py
@@ -15,7 +15,7 @@
 import asyncio
 import random
 
-from guavastream.control.tests.test_fleet import start_core
+from guavastream.control.tests.test_fleet import start_control_cluster
 from guavastream.emulator import run_paused
 from guavastream.fleet import BookCodec, ChangeRoutes
 from guavastream.hosts.book_follower import BookFollower
@@ -78,7 +78,7 @@
 
 def test_all_hosts_have_their_books_soon_after_power_returns(tmp_path):
     async def main():
-        core = await start_core(tmp_path)
+        core = await start_control_cluster(tmp_path)
         await core.change(large_change())
         hosts = [Follower(core, number) for number in range(HOSTS)]
         await core.until(lambda: all(host.version == 2 for host in hosts))
@@ -94,7 +94,7 @@
     # The books of all hosts are on their way while an operator sends the next
     # change. It must not wait for them, nor be lost to hosts that came late.
     async def main():
-        core = await start_core(tmp_path)
+        core = await start_control_cluster(tmp_path)
         await core.change(large_change())
         hosts = [Follower(core, number) for number in range(HOSTS)]
         await core.until(lambda: all(host.version == 2 for host in hosts))
--- a/guavastream/placement/__init__.py
+++ b/guavastream/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Placement of shards on members."""
+"""Policies that decide which server owns which keys."""
 
 from guavastream.placement.balanced import *
 from guavastream.placement.policy import *
--- a/guavastream/placement/policy.py
+++ b/guavastream/placement/policy.py
@@ -1,4 +1,4 @@
-"""What a placement policy decides, and the registry of policies."""
+"""Interface and registry of the placement policies for shards."""
 
 import abc
 from dataclasses import dataclass, field
@@ -6,31 +6,32 @@
 from guavastream.kernel import Registry
 from guavastream.state import ShardMap
 
-__all__ = ["POLICIES", "Plan", "PlacementPolicy", "View"]
+__all__ = ["POLICIES", "Plan", "PlacementPolicy", "PlacementView"]
 
 POLICIES = Registry(kind="placement policy")
 
 
 @dataclass(frozen=True, kw_only=True)
-class View:
-    """What a policy sees of one service.
+class PlacementView:
+    """The state of one service that a placement policy decides on.
 
     Parameters
     ----------
     shards : ShardMap
-        Present owners.
+        Current owners.
     moving : dict of int to int
-        Shards on the move and their targets.
+        Shards being moved and their target members.
     capacity : dict of int to float
-        For each member that may get shards, its share of work (slots).
+        Number of slots of each member that may receive shards.
     present : frozenset of int
-        Members that still hold what they own, eligible or not.
+        Members that are still running, including those that may not receive
+        shards.
     load : dict of int to float
-        Load of each shard; 1 where nothing is known.
+        Load of each shard; 1 for shards without a known load.
     budget : int
-        Shards that may be on the move at once for balance.
+        Maximum number of concurrent moves for balancing.
     churn_weight, imbalance_weight : float
-        Declared weights of the service.
+        Weights declared for the service.
     """
 
     shards: ShardMap
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Plan:
-    """Shards to hand out and shards to move, each to a member."""
+    """Shards to assign and shards to move, each with its target member."""
 
     assign: dict = field(default_factory=dict)
     moves: dict = field(default_factory=dict)
@@ -60,4 +61,4 @@
 
     @abc.abstractmethod
     def plan(self, view):
-        """Return the `Plan` for a `View`; an empty one if all is well."""
+        """Return the `Plan` for a `PlacementView`; empty if nothing is to change."""
--- a/guavastream/placement/runs.py
+++ b/guavastream/placement/runs.py
@@ -1,8 +1,8 @@
-"""Where runs of keys go: by load, in few rows, with little churn.
+"""Placement of key ranges on servers by load, in few ranges and with few moves.
 
-It answers loads in which few keys that lie close together get a large share
-of a service's requests for some seconds, and servers that differ in speed,
-slow down, join and leave.
+Handles loads in which a few adjacent keys receive a large share of a service's
+requests for some seconds, and servers that differ in speed, slow down, join and
+leave.
 """
 
 from bisect import bisect_left, bisect_right
@@ -12,114 +12,122 @@
 from guavastream.fleet import KEYS, rows_without
 from guavastream.kernel import Policy
 
-__all__ = ["RunPlan", "RunView", "plan_runs"]
-
-# Rows that all servers together get when all keys are handed out for the
-# first time, and bounds for one of them. Busy keys lie close together, so
-# many small rows spread them before anything was measured.
-FIRST_ROWS_OF_ALL = 200
-LEAST_FIRST_ROWS = 4
-MOST_FIRST_ROWS = 12
-# Rows beyond which no server gets more for the sake of balance; a
-# heartbeat's answer must stay within 4 KiB, which is about 90 rows.
-MOST_ROWS = 75
-# Share of the load that is spread over all keys evenly, so that keys without
-# requests count for something and new servers get their part of them.
+__all__ = ["KeyRangePlan", "KeyRangeView", "plan_key_ranges"]
+
+# Total number of ranges into which all keys are cut when they are first granted,
+# and the bounds per server. Busy keys are often adjacent, so many small ranges
+# spread them before any load has been measured.
+INITIAL_RANGES_TOTAL = 200
+MIN_INITIAL_RANGES = 4
+MAX_INITIAL_RANGES = 12
+# Number of ranges at which a server receives no more for balancing. The answer to
+# a heartbeat must fit in 4 KiB, which is about 90 ranges.
+MAX_RANGES_PER_SERVER = 75
+# Fraction of the load that is added evenly over all keys, so that keys without
+# requests have a weight and new servers receive some of them.
 EVEN_SHARE = 0.1
-# A server is relieved when its use lies above the mean by this factor. With
-# less, noise in a second's worth of requests moves keys to and fro.
+# A server is relieved if its utilization exceeds the mean by this factor. A
+# smaller factor would move keys back and forth on the noise in one second's
+# requests.
 HYSTERESIS = 1.15
-# Use (share of slots that are busy) below which load is left where it is:
-# at half use hardly any request waits.
-CALM_USE = 0.35
-# Moves that are started at once for one service.
-MOST_MOVES = 10
-# A window is taken if its load is within this factor of what is wanted; if
-# none is, the largest below it, from this part of it on.
-FIT = 1.25
-LEAST_PART = 0.1
-# Rows that are looked at for a piece to cut off, the busiest ones.
-MOST_CUT = 8
-# A key that no other server could serve beside its own keys moves to the
-# fastest one if it takes that much less of it, in shares of a server.
-LEAST_GAIN = 0.1
+# Utilization (fraction of busy slots) below which load is not moved: up to half
+# utilization hardly any request waits.
+LOW_UTILIZATION = 0.35
+# Maximum number of concurrent moves for one service.
+MAX_MOVES = 10
+# A range is chosen if its load is within this factor of the wanted load. If none
+# is, the one with the largest smaller load is chosen, provided that it has at
+# least this fraction of the wanted load.
+FIT_FACTOR = 1.25
+MIN_FIT_FRACTION = 0.1
+# Number of ranges, the busiest ones, that are searched for a part to cut off.
+MAX_RANGES_TO_CUT = 8
+# A key that no other server could serve in addition to its own keys is moved to
+# the fastest server if the utilization it causes drops by at least this much.
+MIN_UTILIZATION_GAIN = 0.1
 
 
 @dataclass(frozen=True, kw_only=True)
-class RunView:
-    """What is known of one service.
+class KeyRangeView:
+    """The state of one service that its key ranges are planned from.
 
     Parameters
     ----------
     runs : tuple of Run
-        All keys with their owners.
+        All keys as ranges, with their owners.
     capacity : dict of str to float
-        Requests a second that each server can do; leaving ones are not there.
-    absent : frozenset of str
-        Silent servers, which neither get keys nor give any.
+        Requests per second that each server can process; without leaving servers.
+    silent : frozenset of str
+        Servers that currently send no heartbeats. They neither receive nor give
+        up keys.
     load : dict of int to float
-        Requests a second for each busy key.
-    rest : float
-        Requests a second for all other keys together, spread evenly.
+        Requests per second for each busy key.
+    other_load : float
+        Requests per second for all other keys together, evenly spread.
     areas : tuple of float
-        Requests a second for other keys, by equal parts of all keys.
+        Requests per second for the other keys, for each of several equal parts
+        of the key space.
     moving : dict of tuple to str
-        Rows (first, last) that are on the move, and their targets.
+        Key ranges (first, last) being moved, and their target servers.
     policy : Policy
-        Mechanisms that are in force.
+        Enabled mechanisms.
     """
 
     runs: tuple
     capacity: dict
-    absent: frozenset = frozenset()
+    silent: frozenset = frozenset()
     load: dict = field(default_factory=dict)
-    rest: float = 0.0
+    other_load: float = 0.0
     areas: tuple = ()
     moving: dict = field(default_factory=dict)
     policy: Policy = Policy()
 
 
 @dataclass(frozen=True, kw_only=True)
-class RunPlan:
-    """Free rows to grant and held rows to move, (first, last, to)."""
+class KeyRangePlan:
+    """Free ranges to grant and owned ranges to move, as (first, last, target)."""
 
     grants: tuple = ()
     moves: tuple = ()
 
 
-class _Loads:
-    """Load of any row, from prefix sums over busy keys and over areas."""
+class _RangeLoads:
+    """Computes the load of any key range from prefix sums over keys and areas."""
 
     def __init__(self, view):
-        self.keys = sorted(view.load)
-        self.sums = [0.0]
-        for key in self.keys:
-            self.sums.append(self.sums[-1] + view.load[key])
-        rare = view.areas or (0.0,)
+        self.busy_keys = sorted(view.load)
+        self.prefix_sums = [0.0]
+        for key in self.busy_keys:
+            self.prefix_sums.append(self.prefix_sums[-1] + view.load[key])
+        area_rates = view.areas or (0.0,)
         if not view.policy.areas:
-            rare = (sum(rare),)
-        total = self.sums[-1] + view.rest + sum(rare)
-        even = (max(total, 1.0) * EVEN_SHARE + view.rest) / len(rare)
-        self._area_keys = KEYS / len(rare)
-        self._area_sums = [0.0]
-        for rate in rare:
-            self._area_sums.append(self._area_sums[-1] + rate + even)
-        self._area_sums.append(self._area_sums[-1])
+            area_rates = (sum(area_rates),)
+        total = self.prefix_sums[-1] + view.other_load + sum(area_rates)
+        even = (max(total, 1.0) * EVEN_SHARE + view.other_load) / len(area_rates)
+        self._area_size = KEYS / len(area_rates)
+        self._area_prefix_sums = [0.0]
+        for rate in area_rates:
+            self._area_prefix_sums.append(self._area_prefix_sums[-1] + rate + even)
+        self._area_prefix_sums.append(self._area_prefix_sums[-1])
 
     def of(self, first, last):
-        low, high = bisect_left(self.keys, first), bisect_right(self.keys, last)
-        busy = self.sums[high] - self.sums[low]
-        return busy + self._below(last + 1) - self._below(first)
+        """Return the load of the keys `first` to `last`."""
+        low, high = (
+            bisect_left(self.busy_keys, first),
+            bisect_right(self.busy_keys, last),
+        )
+        busy = self.prefix_sums[high] - self.prefix_sums[low]
+        return busy + self._rare_load_below(last + 1) - self._rare_load_below(first)
 
-    def _below(self, key):
-        """Return the load of rare keys below `key`."""
-        area, part = divmod(key / self._area_keys, 1)
-        before, after = self._area_sums[int(area) : int(area) + 2]
-        return before + part * (after - before)
+    def _rare_load_below(self, key):
+        """Return the load of all keys below `key`, without the busy ones."""
+        area, fraction = divmod(key / self._area_size, 1)
+        before, after = self._area_prefix_sums[int(area) : int(area) + 2]
+        return before + fraction * (after - before)
 
 
-def plan_runs(view):
-    """Return the `RunPlan` for a `RunView`.
+def plan_key_ranges(view):
+    """Return the `KeyRangePlan` for a `KeyRangeView`.
 
     Notes
     -----
@@ -133,23 +141,23 @@
     Examples
     --------
     >>> from guavastream.fleet import Run
-    >>> view = RunView(
+    >>> view = KeyRangeView(
     ...     runs=(Run(first=0, last=KEYS - 1),), capacity={"a": 1.0, "b": 1.0}
     ... )
-    >>> plan = plan_runs(view)
+    >>> plan = plan_key_ranges(view)
     >>> len(plan.grants), sorted({row[2] for row in plan.grants})
     (24, ['a', 'b'])
     """
     if not view.capacity:
-        return RunPlan()
-    loads = _Loads(view)
-    use = dict.fromkeys(view.capacity, 0.0)
-    rows = dict.fromkeys(view.capacity, 0)
-    free, stranded, held = [], [], {member: [] for member in view.capacity}
-    for first, last, owner, _ in _pieces(view):
-        if owner in use:
-            use[owner] += loads.of(first, last) / view.capacity[owner]
-            rows[owner] += 1
+        return KeyRangePlan()
+    loads = _RangeLoads(view)
+    utilization = dict.fromkeys(view.capacity, 0.0)
+    range_counts = dict.fromkeys(view.capacity, 0)
+    free, to_evacuate, held = [], [], {server: [] for server in view.capacity}
+    for first, last, owner, _ in _ranges_after_moves(view):
+        if owner in utilization:
+            utilization[owner] += loads.of(first, last) / view.capacity[owner]
+            range_counts[owner] += 1
         if owner == "":
             free.append((first, last))
     for run in view.runs:
@@ -157,17 +165,17 @@
             continue
         if run.owner in held:
             held[run.owner].append((run.first, run.last))
-        elif run.owner not in view.absent:
-            stranded.append((run.first, run.last))
-    grants = _spread(view, loads, use, rows, _chunks(view, free))
-    moves = _spread(view, loads, use, rows, stranded)
-    if not free and not stranded and view.policy.balance:
-        moves = _balance(view, loads, use, rows, held)
-    return RunPlan(grants=tuple(grants), moves=tuple(moves))
+        elif run.owner not in view.silent:
+            to_evacuate.append((run.first, run.last))
+    grants = _assign(view, loads, utilization, range_counts, _cut_free(view, free))
+    moves = _assign(view, loads, utilization, range_counts, to_evacuate)
+    if not free and not to_evacuate and view.policy.balance:
+        moves = _balance(view, loads, utilization, range_counts, held)
+    return KeyRangePlan(grants=tuple(grants), moves=tuple(moves))
 
 
-def _pieces(view):
-    """Yield first, last, future owner and present owner of every run."""
+def _ranges_after_moves(view):
+    """Yield first key, last key, future owner and current owner of every range."""
     for run in view.runs:
         target = view.moving.get((run.first, run.last))
         yield run.first, run.last, target or run.owner, run.owner
@@ -177,11 +185,13 @@
     return any(run.overlaps(first, last) for first, last in view.moving)
 
 
-def _chunks(view, free):
-    """Cut long free rows, so that keys that lie close spread over servers."""
-    count = len(view.capacity)
-    rows = min(MOST_FIRST_ROWS, max(LEAST_FIRST_ROWS, FIRST_ROWS_OF_ALL // count))
-    size = max(1, KEYS // (count * rows))
+def _cut_free(view, free):
+    """Cut long free ranges, so that adjacent keys are spread over the servers."""
+    servers = len(view.capacity)
+    ranges_per_server = min(
+        MAX_INITIAL_RANGES, max(MIN_INITIAL_RANGES, INITIAL_RANGES_TOTAL // servers)
+    )
+    size = max(1, KEYS // (servers * ranges_per_server))
     for first, last in free:
         while last - first + 1 >= 2 * size:
             yield first, first + size - 1
@@ -189,126 +199,151 @@
         yield first, last
 
 
-def _spread(view, loads, use, rows, pieces):
-    """Give each piece to the server that is least used with it, largest first."""
-    chosen = []
-    for first, last in sorted(pieces, key=lambda p: loads.of(*p), reverse=True):
+def _assign(view, loads, utilization, range_counts, ranges):
+    """Assign each range to the server that it leaves least utilized, busiest first."""
+    assigned = []
+    for first, last in sorted(ranges, key=lambda r: loads.of(*r), reverse=True):
         load = loads.of(first, last)
-        member = min(
-            use, key=lambda m: (rows[m] >= MOST_ROWS, use[m] + load / view.capacity[m])
+        server = min(
+            utilization,
+            key=lambda s: (
+                range_counts[s] >= MAX_RANGES_PER_SERVER,
+                utilization[s] + load / view.capacity[s],
+            ),
         )
-        use[member] += load / view.capacity[member]
-        rows[member] += 1
-        chosen.append((first, last, member))
-    return chosen
+        utilization[server] += load / view.capacity[server]
+        range_counts[server] += 1
+        assigned.append((first, last, server))
+    return assigned
 
 
-def _balance(view, loads, use, rows, held):
+def _balance(view, loads, utilization, range_counts, held):
+    """Return moves from the most to the least utilized servers."""
     moves = []
     capacity = view.capacity
     mean = loads.of(0, KEYS - 1) / sum(capacity.values())
-    bound = max(mean * HYSTERESIS, CALM_USE)
-    while len(moves) + len(view.moving) < MOST_MOVES:
-        full = max(use, key=use.get)
-        idle = min(use, key=lambda m: (rows[m] >= MOST_ROWS, use[m]))
-        empty = rows[idle] == 0
-        if not empty and use[full] < bound:
+    upper_bound = max(mean * HYSTERESIS, LOW_UTILIZATION)
+    while len(moves) + len(view.moving) < MAX_MOVES:
+        busiest = max(utilization, key=utilization.get)
+        idlest = min(
+            utilization,
+            key=lambda s: (range_counts[s] >= MAX_RANGES_PER_SERVER, utilization[s]),
+        )
+        has_no_keys = range_counts[idlest] == 0
+        if not has_no_keys and utilization[busiest] < upper_bound:
             break
-        if rows[idle] >= MOST_ROWS or full == idle:
+        if range_counts[idlest] >= MAX_RANGES_PER_SERVER or busiest == idlest:
             break
         wanted = min(
-            (use[full] - mean) * capacity[full], (mean - use[idle]) * capacity[idle]
+            (utilization[busiest] - mean) * capacity[busiest],
+            (mean - utilization[idlest]) * capacity[idlest],
         )
-        window, target = _window(loads, held[full], wanted), idle
-        if window is None or not _relieves(view, loads, use, full, window, idle):
-            window, target = _hottest(view, loads, held[full], full)
-        if window is None:
+        chosen, target = _find_range(loads, held[busiest], wanted), idlest
+        if chosen is None or not _is_improvement(
+            view, loads, utilization, busiest, chosen, idlest
+        ):
+            chosen, target = _hottest_key(view, loads, held[busiest], busiest)
+        if chosen is None:
             break
-        moved = loads.of(*window)
-        moves.append((*window, target))
-        use[full] -= moved / capacity[full]
-        use[target] += moved / capacity[target]
-        rows[target] += 1
-        rows[full] += 1
-        held[full] = rows_without(held[full], window)
+        moved_load = loads.of(*chosen)
+        moves.append((*chosen, target))
+        utilization[busiest] -= moved_load / capacity[busiest]
+        utilization[target] += moved_load / capacity[target]
+        range_counts[target] += 1
+        # A cut in the middle of a range leaves its owner with one range more.
+        range_counts[busiest] += 1
+        held[busiest] = rows_without(held[busiest], chosen)
     return moves
 
 
-def _relieves(view, loads, use, full, window, target):
-    """Whether a move leaves its target below where its source was."""
-    return use[target] + loads.of(*window) / view.capacity[target] < use[full]
+def _is_improvement(view, loads, utilization, source, key_range, target):
+    """Whether a move leaves its target less utilized than its source was before."""
+    return (
+        utilization[target] + loads.of(*key_range) / view.capacity[target]
+        < utilization[source]
+    )
 
 
-def _hottest(view, loads, rows, full):
-    """Return the busiest key of a server as a row, and where it does better.
+def _hottest_key(view, loads, ranges, server):
+    """Return the busiest key of a server as a range, and the fastest server.
 
-    One key that is more than its server can do cannot be cut; what helps is
-    the fastest server, whose other keys make room for it afterwards.
+    Returns None for both if the move would not gain enough. The load of a single
+    key cannot be split. If it exceeds what its server can process, it goes to the
+    fastest server, whose other keys are moved away afterwards.
     """
-    keys = [
+    busy_keys = [
         key
-        for first, last in rows
-        for key in loads.keys[
-            bisect_left(loads.keys, first) : bisect_right(loads.keys, last)
+        for first, last in ranges
+        for key in loads.busy_keys[
+            bisect_left(loads.busy_keys, first) : bisect_right(loads.busy_keys, last)
         ]
     ]
-    hottest = max(keys, key=view.load.get, default=None)
+    hottest = max(busy_keys, key=view.load.get, default=None)
     if hottest is None or not view.policy.hottest:
         return None, None
     load = view.load[hottest]
-    alone = load / view.capacity[full]
+    key_utilization = load / view.capacity[server]
     target = max(view.capacity, key=view.capacity.get)
-    gain = alone - load / view.capacity[target]
-    if target == full or gain < LEAST_GAIN or alone < CALM_USE:
+    gain = key_utilization - load / view.capacity[target]
+    if (
+        target == server
+        or gain < MIN_UTILIZATION_GAIN
+        or key_utilization < LOW_UTILIZATION
+    ):
         return None, None
     return (hottest, hottest), target
 
 
-def _window(loads, rows, wanted):
-    """Return the shortest row whose load is about `wanted`, or None.
+def _find_range(loads, ranges, wanted):
+    """Return the shortest range whose load is about `wanted`.
 
-    Where none fits, the row of most load below it.
+    If there is none, returns the range with the largest smaller load, or None if
+    that load is too small to be worth a move.
     """
     if wanted <= 0:
         return None
     best, shortest = None, KEYS + 1
-    spare, spare_load = None, 0.0
-    for window in _candidates(loads, rows, wanted):
-        found = loads.of(*window)
-        if found > wanted * FIT:
+    fallback, fallback_load = None, 0.0
+    for candidate in _candidates(loads, ranges, wanted):
+        load = loads.of(*candidate)
+        if load > wanted * FIT_FACTOR:
             continue
-        if found > spare_load:
-            spare, spare_load = window, found
-        span = window[1] - window[0] + 1
-        if found >= wanted / FIT and span < shortest:
-            best, shortest = window, span
-    if best is None and spare_load < wanted * LEAST_PART:
+        if load > fallback_load:
+            fallback, fallback_load = candidate, load
+        length = candidate[1] - candidate[0] + 1
+        if load >= wanted / FIT_FACTOR and length < shortest:
+            best, shortest = candidate, length
+    if best is None and fallback_load < wanted * MIN_FIT_FRACTION:
         return None
-    return best or spare
+    return best or fallback
 
 
-def _candidates(loads, rows, wanted):
-    """Yield rows that may be moved for a load of `wanted`."""
-    yield from rows
-    # Where keys are busy, a short piece is enough.
-    for first, last in nlargest(MOST_CUT, rows, key=lambda row: loads.of(*row)):
-        yield from _ends(loads, first, last, wanted)
-        low = bisect_left(loads.keys, first)
-        high = bisect_right(loads.keys, last)
+def _candidates(loads, ranges, wanted):
+    """Yield ranges, whole or cut, that may be moved to shift a load of `wanted`."""
+    yield from ranges
+    # Where keys are busy, a short part of a range is enough.
+    for first, last in nlargest(MAX_RANGES_TO_CUT, ranges, key=lambda r: loads.of(*r)):
+        yield from _head_and_tail(loads, first, last, wanted)
+        low = bisect_left(loads.busy_keys, first)
+        high = bisect_right(loads.busy_keys, last)
         start = low
         for end in range(low, high):
-            while start < end and _sum(loads, start, end) > wanted:
+            while start < end and _busy_load(loads, start, end) > wanted:
                 start += 1
-            if _sum(loads, start, end) <= wanted:
-                yield loads.keys[start], loads.keys[end]
+            if _busy_load(loads, start, end) <= wanted:
+                yield loads.busy_keys[start], loads.busy_keys[end]
 
 
-def _sum(loads, start, end):
-    return loads.sums[end + 1] - loads.sums[start]
+def _busy_load(loads, start, end):
+    """Return the load of the busy keys at the indexes `start` to `end`."""
+    return loads.prefix_sums[end + 1] - loads.prefix_sums[start]
 
 
-def _ends(loads, first, last, wanted):
-    """Yield the longest head and tail of a row that hold at most `wanted`."""
+def _head_and_tail(loads, first, last, wanted):
+    """Yield the longest head and tail of a range with a load of at most `wanted`.
+
+    Yields nothing if the load of the whole range is not larger.
+    """
     if loads.of(first, last) <= wanted:
         return
     low, high = first, last
--- a/guavastream/placement/tests/test_runs.py
+++ b/guavastream/placement/tests/test_runs.py
@@ -1,4 +1,4 @@
-"""Runs of keys under hot keys, slow servers, joins and leaves."""
+"""Placement of key ranges under hot keys, slow servers, joins and leaves."""
 
 import random
 
@@ -6,47 +6,51 @@
 
 from guavastream.fleet import KEYS, Run, cut_runs
 from guavastream.kernel import replace
-from guavastream.placement import RunView, plan_runs
+from guavastream.placement import KeyRangeView, plan_key_ranges
 
-FREE = (Run(first=0, last=KEYS - 1),)
+ALL_FREE = (Run(first=0, last=KEYS - 1),)
 
 
-def carry_out(runs, plan):
-    def take(run, row):
+def apply_plan(runs, plan):
+    def set_owner(run, row):
         return replace(run, owner=row[2])
 
-    return cut_runs(runs, [*plan.grants, *plan.moves], take)
+    return cut_runs(runs, [*plan.grants, *plan.moves], set_owner)
 
 
-def use(runs, capacity, load, rest=0.0):
+def utilization(runs, capacity, load, other_load=0.0):
+    """Return the utilization of each server for a load by key."""
     found = dict.fromkeys(capacity, 0.0)
     for run in runs:
-        keys = sum(v for k, v in load.items() if run.first <= k <= run.last)
-        even = rest * (run.last - run.first + 1) / KEYS
+        busy = sum(v for k, v in load.items() if run.first <= k <= run.last)
+        even = other_load * (run.last - run.first + 1) / KEYS
         if run.owner in found:
-            found[run.owner] += (keys + even) / capacity[run.owner]
+            found[run.owner] += (busy + even) / capacity[run.owner]
     return found
 
 
-def settle(runs, capacity, load, rest=0.0, rounds=6):
-    """Carry out some plans; return the runs and the share of keys that moved."""
+def rebalance(runs, capacity, load, other_load=0.0, rounds=6):
+    """Plan and apply several times; return the ranges and the moved share of keys."""
     moved = 0
     for _ in range(rounds):
-        view = RunView(runs=runs, capacity=capacity, load=load, rest=rest)
-        plan = plan_runs(view)
+        view = KeyRangeView(
+            runs=runs, capacity=capacity, load=load, other_load=other_load
+        )
+        plan = plan_key_ranges(view)
         moved += sum(last - first + 1 for first, last, _ in plan.moves)
-        runs = carry_out(runs, plan)
+        runs = apply_plan(runs, plan)
     return runs, moved / KEYS
 
 
-def imbalance(runs, capacity, load, rest=0.0):
-    found = use(runs, capacity, load, rest)
-    mean = (sum(load.values()) + rest) / sum(capacity.values())
+def imbalance(runs, capacity, load, other_load=0.0):
+    """Return the maximum utilization divided by the mean."""
+    found = utilization(runs, capacity, load, other_load)
+    mean = (sum(load.values()) + other_load) / sum(capacity.values())
     return max(found.values()) / mean
 
 
-def skewed(seed, total=300.0, keys=600):
-    # Busy keys lie close together, as those of one crew base do.
+def skewed_load(seed, total=300.0, keys=600):
+    """Return a load in which the busy keys are close together."""
     rng = random.Random(seed)
     load = {}
     for rank in range(1, keys + 1):
@@ -60,108 +64,110 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_busy_keys_that_lie_close_are_spread_by_speed(seed):
-    load = skewed(seed)
-    runs, _ = settle(FREE, CAPACITY, {})
+def test_adjacent_busy_keys_are_spread_by_server_capacity(seed):
+    load = skewed_load(seed)
+    runs, _ = rebalance(ALL_FREE, CAPACITY, {})
     before = imbalance(runs, CAPACITY, load)
-    runs, moved = settle(runs, CAPACITY, load)
+    runs, moved = rebalance(runs, CAPACITY, load)
     assert imbalance(runs, CAPACITY, load) < min(1.35, before)
     assert moved < 0.4
 
 
 @pytest.mark.parametrize("count", [60, 200])
-def test_a_hot_stretch_is_spread_within_a_few_plans(count):
-    # Two hundred keys in a row suddenly get two fifths of all requests.
-    load = skewed(3)
-    runs, _ = settle(*settle(FREE, CAPACITY, {})[:1], CAPACITY, load)
+def test_sudden_load_on_adjacent_keys_is_spread_within_three_plans(count):
+    # Adjacent keys suddenly receive two fifths of all requests.
+    load = skewed_load(3)
+    runs, _ = rebalance(*rebalance(ALL_FREE, CAPACITY, {})[:1], CAPACITY, load)
     hot = {k: v * 0.6 for k, v in load.items()}
     for key in range(30000, 30000 + count):
         hot[key] = hot.get(key, 0.0) + 120.0 / count
     assert imbalance(runs, CAPACITY, hot) > 1.5
-    runs, moved = settle(runs, CAPACITY, hot, rounds=3)
+    runs, moved = rebalance(runs, CAPACITY, hot, rounds=3)
     assert imbalance(runs, CAPACITY, hot) < 1.4
     assert moved < 0.3
 
 
-def test_one_key_that_is_too_hot_ends_up_nearly_alone():
+def test_owner_of_a_very_hot_key_keeps_few_other_requests():
     load = {40000: 100.0} | dict.fromkeys(range(0, 60000, 300), 1.0)
-    runs, _ = settle(FREE, CAPACITY, load, rounds=12)
-    found = use(runs, CAPACITY, load)
+    runs, _ = rebalance(ALL_FREE, CAPACITY, load, rounds=12)
+    found = utilization(runs, CAPACITY, load)
     owner = next(run.owner for run in runs if run.first <= 40000 <= run.last)
-    others = found[owner] * CAPACITY[owner] - 100.0
-    assert others < 0.5 * 100.0
+    other_requests = found[owner] * CAPACITY[owner] - 100.0
+    assert other_requests < 0.5 * 100.0
 
 
-def test_a_balanced_service_is_left_alone():
+def test_balanced_service_moves_no_keys():
     rng = random.Random(1)
-    runs, _ = settle(FREE, CAPACITY, {}, rest=300.0)
+    runs, _ = rebalance(ALL_FREE, CAPACITY, {}, other_load=300.0)
     load = {rng.randrange(KEYS): 1.0 for _ in range(100)}
-    runs, _ = settle(runs, CAPACITY, load, rest=200.0)
-    _, moved = settle(runs, CAPACITY, load, rest=200.0, rounds=3)
+    runs, _ = rebalance(runs, CAPACITY, load, other_load=200.0)
+    _, moved = rebalance(runs, CAPACITY, load, other_load=200.0, rounds=3)
     assert moved == 0
 
 
-def test_a_new_server_gets_keys_and_a_leaving_one_loses_all():
-    load = skewed(7)
-    four = {name: CAPACITY[name] for name in "abcd"}
-    runs, _ = settle(FREE, four, load)
-    runs, _ = settle(runs, CAPACITY, load)
-    assert use(runs, CAPACITY, load)["e"] > 0
-    left = {name: CAPACITY[name] for name in "bcde"}
-    plan = plan_runs(RunView(runs=runs, capacity=left, load=load))
+def test_new_server_receives_keys_and_leaving_server_loses_all():
+    load = skewed_load(7)
+    without_e = {name: CAPACITY[name] for name in "abcd"}
+    runs, _ = rebalance(ALL_FREE, without_e, load)
+    runs, _ = rebalance(runs, CAPACITY, load)
+    assert utilization(runs, CAPACITY, load)["e"] > 0
+    without_a = {name: CAPACITY[name] for name in "bcde"}
+    plan = plan_key_ranges(KeyRangeView(runs=runs, capacity=without_a, load=load))
     assert {row[:2] for row in plan.moves} >= {
         (run.first, run.last) for run in runs if run.owner == "a"
     }
-    runs = carry_out(runs, plan)
-    assert all(run.owner in left for run in runs)
+    runs = apply_plan(runs, plan)
+    assert all(run.owner in without_a for run in runs)
 
 
-def test_rows_that_move_are_not_planned_again():
-    load = skewed(2)
-    runs, _ = settle(FREE, CAPACITY, {})
-    plan = plan_runs(RunView(runs=runs, capacity=CAPACITY, load=load))
+def test_ranges_being_moved_are_not_planned_again():
+    load = skewed_load(2)
+    runs, _ = rebalance(ALL_FREE, CAPACITY, {})
+    plan = plan_key_ranges(KeyRangeView(runs=runs, capacity=CAPACITY, load=load))
     moving = {row[:2]: row[2] for row in plan.moves}
-    again = plan_runs(RunView(runs=runs, capacity=CAPACITY, load=load, moving=moving))
-    for first, last, _ in again.moves:
+    second_plan = plan_key_ranges(
+        KeyRangeView(runs=runs, capacity=CAPACITY, load=load, moving=moving)
+    )
+    for first, last, _ in second_plan.moves:
         assert all(last < a or b < first for a, b in moving)
 
 
-def test_no_server_gets_more_rows_than_fit_an_answer():
-    runs = FREE
+def test_ranges_of_a_server_fit_in_a_heartbeat_answer():
+    runs = ALL_FREE
     rng = random.Random(4)
     for seed in range(30):
-        load = skewed(seed)
+        load = skewed_load(seed)
         shift = rng.randrange(KEYS)
         load = {(key + shift) % KEYS: value for key, value in load.items()}
-        runs, _ = settle(runs, CAPACITY, load, rounds=2)
+        runs, _ = rebalance(runs, CAPACITY, load, rounds=2)
     counts = {n: sum(run.owner == n for run in runs) for n in CAPACITY}
     assert max(counts.values()) <= 90
 
 
-def test_a_key_beyond_its_server_moves_to_the_fastest_one():
-    # One key gets two fifths of all requests, three times what its server can
-    # do: two in three of them would be refused, while the fastest could serve
-    # nearly all. What else the fastest had makes room.
-    load = skewed(5)
-    runs, _ = settle(*settle(FREE, CAPACITY, {})[:1], CAPACITY, load)
+def test_key_that_overloads_its_server_moves_to_the_fastest_one():
+    # One key receives two fifths of all requests, three times what its server can
+    # process, which would refuse two thirds of them. The fastest server can serve
+    # nearly all of them once its other keys have been moved away.
+    load = skewed_load(5)
+    runs, _ = rebalance(*rebalance(ALL_FREE, CAPACITY, {})[:1], CAPACITY, load)
     slow = next(run for run in runs if run.owner == "a")
     hot = {key: value * 0.6 for key, value in load.items()} | {slow.first: 150.0}
-    runs, moved = settle(runs, CAPACITY, hot, rounds=6)
+    runs, moved = rebalance(runs, CAPACITY, hot, rounds=6)
     owner = next(run.owner for run in runs if run.first <= slow.first <= run.last)
     assert owner == "e"
-    assert use(runs, CAPACITY, hot)["e"] < 1.05
+    assert utilization(runs, CAPACITY, hot)["e"] < 1.05
     assert moved < 0.5
 
 
-def test_rare_keys_count_where_they_lie():
-    # Most requests go to keys that are rare by themselves and lie close
-    # together. Counted as spread evenly, the servers of that stretch looked
-    # idle, and refused a third of their requests.
+def test_load_of_rare_keys_is_counted_by_area():
+    # Most requests are for keys that are rarely requested one by one but are close
+    # together. Counting them as evenly spread made the servers of this area look
+    # idle while they refused a third of their requests.
     areas = tuple(250.0 / 2 ** (n / 16) / 23.6 for n in range(256))
-    runs, _ = settle(FREE, CAPACITY, {})
+    runs, _ = rebalance(ALL_FREE, CAPACITY, {})
     for _ in range(8):
-        plan = plan_runs(RunView(runs=runs, capacity=CAPACITY, areas=areas))
-        runs = carry_out(runs, plan)
+        plan = plan_key_ranges(KeyRangeView(runs=runs, capacity=CAPACITY, areas=areas))
+        runs = apply_plan(runs, plan)
     found = dict.fromkeys(CAPACITY, 0.0)
     for run in runs:
         for area in range(256):
--- a/guavastream/platform/tests/test_lives.py
+++ b/guavastream/platform/tests/test_lives.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from guavastream.control.tests.test_fleet import start_core
+from guavastream.control.tests.test_fleet import start_control_cluster
 from guavastream.emulator import run_paused
 from guavastream.exception import FindingsError
 from guavastream.platform.wire import decode_beat
@@ -61,7 +61,7 @@
     # for late ones of before and passed over them until their numbers had
     # caught up: callers of its keys were refused for as long as it had lived.
     async def main():
-        core = await start_core(tmp_path)
+        core = await start_control_cluster(tmp_path)
         before = await until_granted(core, born=1000, seconds=5.0)
         held = [row[:3] for row in before]
         for seq in range(10, 60):
@@ -78,7 +78,7 @@
     # A heartbeat of the life before was held up by a cut and comes after the
     # new life has keys. It must neither be granted any, nor take them away.
     async def main():
-        core = await start_core(tmp_path)
+        core = await start_control_cluster(tmp_path)
         held = [row[:3] for row in await until_granted(core, born=1000, seconds=5.0)]
         rows = await until_granted(core, born=2000)
         late = beat(born=1000, seq=99, holds=held, State="draining")
@@ -104,7 +104,7 @@
     # Another writer's heartbeat names the address of a sound server. Taken for
     # one of ours, it took that server's place, which lost all its keys.
     async def main():
-        core = await start_core(tmp_path)
+        core = await start_control_cluster(tmp_path)
         rows = await until_granted(core, born=1000, seconds=5.0)
         stray = beat(id="x", born=1, seq=1, Service="elsewhere")
         assert (await send(core, stray)).gone
@@ -121,7 +121,7 @@
     """Guards against a clock that went back, and keeps a new life from being served."""
 
     async def main():
-        core = await start_core(tmp_path)
+        core = await start_control_cluster(tmp_path)
         held = [row[:3] for row in await until_granted(core, born=1000, seconds=5.0)]
         for seq in range(10, 60):
             await send(core, beat(born=1000, seq=seq, holds=held))
