--- a/guavastream/commands/tests/test_suspects.py
+++ b/guavastream/commands/tests/test_suspects.py
@@ -9,7 +9,7 @@
 
 from guavastream.cli import main
 from guavastream.exception import NotReady
-from guavastream.fleet import Book, Suspect
+from guavastream.fleet import FleetState, Suspect
 from guavastream.hosts.admin import AdminApi
 from guavastream.http1 import Server
 from guavastream.kernel import Counters
@@ -19,8 +19,8 @@
 
 def make_suspect(refused):
     return Suspect(
-        ends=3 if refused else 1,
-        lives=(1,),
+        crash_count=3 if refused else 1,
+        incarnations=(1,),
         places=(("orders", "v1"),),
         hosts=("h1", "h2"),
         refused=refused,
@@ -32,7 +32,7 @@
 
     def __init__(self):
         suspects = {FIRST: make_suspect(True), SECOND: make_suspect(False)}
-        self.book = Book(suspects=suspects)
+        self.book = FleetState(suspects=suspects)
         self.counters = Counters()
         self.lifted = []
         self.fails = False
--- a/guavastream/control/fleet.py
+++ b/guavastream/control/fleet.py
@@ -8,9 +8,10 @@
 from guavastream.control.watching import WATCH_MESSAGES, WatchService
 from guavastream.exception import GuavastreamError, NotLeader, NotReady, PeerFailure
 from guavastream.fleet import (
-    Beat,
     ChangeRoutes,
+    CurrentRoutes,
     Depart,
+    Heartbeat,
     JoinVoters,
     LiftSuspects,
     LoadReport,
@@ -19,9 +20,8 @@
     ReportAnswered,
     ReportEnd,
     ReturnKeys,
-    RoutesRead,
     encode_command,
-    shorten_change,
+    make_incremental,
 )
 from guavastream.kernel import part_logger
 from guavastream.leases import Submit, Submitted
@@ -93,7 +93,7 @@
             )
         self._require_leadership()
         self._granter.ensure_term()
-        if isinstance(request, Beat):
+        if isinstance(request, Heartbeat):
             return await self._granter.answer_heartbeat(request)
         if isinstance(request, RenewKeys):
             return await self._granter.renew(request)
@@ -117,7 +117,7 @@
             return request
         if isinstance(request, ReadRoutes):
             return self._watches.split_answer(
-                RoutesRead(config=self._machine.table.config)
+                CurrentRoutes(config=self._machine.table.config)
             )
         if isinstance(request, Submit):
             return await self._submit(request)
@@ -153,7 +153,7 @@
             raise PeerFailure(f"{type(command).__name__} cannot be submitted.")
         if len(self._raft.voters) // 2 < self._losses:
             raise NotReady("Too few voters to survive the allowed disk losses.")
-        command = shorten_change(command, self._machine.table.config)
+        command = make_incremental(command, self._machine.table.config)
         result = await self._raft.propose(encode_command(command))
         encoded = msgspec.msgpack.encode(result)
         return Submitted(index=self._machine.table.index, result=encoded)
--- a/guavastream/control/grants.py
+++ b/guavastream/control/grants.py
@@ -7,18 +7,18 @@
 from guavastream.control.loads import KeyLoads, Loads
 from guavastream.exception import NotLeader
 from guavastream.fleet import (
-    Beat,
-    Beaten,
     EndInstance,
     GrantKeys,
+    Heartbeat,
+    HeartbeatAnswer,
     JoinInstance,
     LeaveInstance,
     ReleaseKeys,
     RemoveInstances,
     RenewKeys,
     encode_command,
-    rows_without,
     runs_within,
+    subtract_range,
 )
 from guavastream.kernel import Policy, Signal, TimeLimit, part_logger, replace
 from guavastream.leases import HoldTiming
@@ -147,22 +147,22 @@
         self.ensure_term()
         latest = self._latest_like(heartbeat)
         if latest is not None and heartbeat.seq < latest.seq:
-            return Beaten(index=self._state.index)
+            return HeartbeatAnswer(index=self._state.index)
         self._set_latest(heartbeat)
         is_new = heartbeat.id not in self._state.instances
         if not await self._update_server(heartbeat):
-            return Beaten(index=self._state.index, gone=True)
+            return HeartbeatAnswer(index=self._state.index, gone=True)
         self._holds.record_heartbeat(heartbeat.id)
-        self._cold_until[heartbeat.id] = arrived + heartbeat.cold
+        self._cold_until[heartbeat.id] = arrived + heartbeat.cold_seconds
         service = self._state.config.services.get(heartbeat.service)
         if service is None or not service.keyed:
-            return Beaten(index=self._state.index)
+            return HeartbeatAnswer(index=self._state.index)
         if self._granting_mode(heartbeat.service) is not Granting.HEARTBEAT:
-            return Beaten(index=self._state.index, new=is_new)
+            return HeartbeatAnswer(index=self._state.index, new=is_new)
         await self._wait_for_change(heartbeat, arrived)
         self._require_lead()
         if not self._is_latest(heartbeat) or heartbeat.id in self._removing:
-            return Beaten(index=self._state.index)
+            return HeartbeatAnswer(index=self._state.index)
         return self._renewal(heartbeat, arrived)
 
     def _granting_mode(self, name):
@@ -181,13 +181,13 @@
         """
         arrived = self._clock()
         self.ensure_term()
-        no_change = Beaten(index=self._state.index)
+        no_change = HeartbeatAnswer(index=self._state.index)
         if request.id not in self._state.instances:
             return replace(no_change, gone=request.id in self._state.gone)
         if self._granting_mode(request.service) is not Granting.CALL:
             return no_change
         latest = self._latest_like(request)
-        if latest is not None and latest.asker == request.asker:
+        if latest is not None and latest.sender_id == request.sender_id:
             if request.seq < latest.seq:
                 return no_change
         self._set_latest(request)
@@ -203,11 +203,11 @@
     def _ranges_to_release(self, request):
         """Return the ranges that a server still owns but must release."""
         to_release = []
-        for run in self._state.rows_of(request.id, request.service):
+        for run in self._state.runs_owned_by(request.id, request.service):
             to_keep = self._parts_to_keep(run)
             remaining = [(run.first, run.last)]
             for key_range in to_keep:
-                remaining = rows_without(remaining, key_range)
+                remaining = subtract_range(remaining, key_range)
             to_release += [(first, last, run.fence) for first, last in remaining]
         return tuple(to_release)
 
@@ -363,7 +363,7 @@
         """
         ranges = []
         reported = set(message.holds)
-        for run in self._state.rows_of(message.id, message.service):
+        for run in self._state.runs_owned_by(message.id, message.service):
             for first, last in self._parts_to_keep(run):
                 already_held = any(
                     a <= first and last <= b and fence == run.fence
@@ -379,7 +379,7 @@
         parts = [(run.first, run.last)]
         for move in self._moves:
             if move.source == run.owner and move.is_active:
-                parts = rows_without(parts, (move.first, move.last))
+                parts = subtract_range(parts, (move.first, move.last))
         return parts
 
     def _renewal(self, message, arrived):
@@ -396,7 +396,7 @@
                 # was the last one to do so.
                 move.source_expires_at = previous_expiry
         self._holds.renew(message.id, arrived=arrived)
-        return Beaten(
+        return HeartbeatAnswer(
             index=self._state.index,
             rows=tuple(self._ranges_to_hold(message)),
             hold=self._timing.hold,
@@ -438,7 +438,7 @@
             loads = self._loads[report.service] = KeyLoads(
                 clock=self._clock, policy=self._policy
             )
-        loads.note(report.keys, report.rest)
+        loads.note(report.keys, report.other_count)
         if report.latency:
             self._latency[report.id] = report.latency
 
@@ -502,7 +502,7 @@
             self._holds.forget(id)
             # If the server comes back with the same id, its sequence numbers
             # start again.
-            self._latest.pop((Beat, id), None)
+            self._latest.pop((Heartbeat, id), None)
         self._removing.difference_update(ids)
 
     async def _expire_moves(self):
@@ -692,7 +692,7 @@
         that have ended. Keys must not be granted to those, or moved between them.
         """
         granted_by_call = self._granting_mode(server.service) is Granting.CALL
-        message_type = RenewKeys if granted_by_call else Beat
+        message_type = RenewKeys if granted_by_call else Heartbeat
         heard = (message_type, server.id) in self._latest
         return heard and not self._holds.is_expired(server.id)
 
--- a/guavastream/control/loads.py
+++ b/guavastream/control/loads.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from guavastream.fleet import KEYS
+from guavastream.fleet import KEY_COUNT
 from guavastream.kernel import Policy, record
 
 __all__ = ["AREAS", "KeyLoads", "Loads"]
@@ -32,7 +32,7 @@
 # Rare keys are counted by area. The areas are equal parts of the key space, averaged
 # over a longer time because the popularity of rare keys changes slowly.
 AREAS = 256
-KEYS_PER_AREA = KEYS // AREAS
+KEYS_PER_AREA = KEY_COUNT // AREAS
 AREA_WINDOW_SECONDS = 6.0
 
 
--- a/guavastream/control/suspects.py
+++ b/guavastream/control/suspects.py
@@ -4,9 +4,9 @@
 
 from guavastream.exception import NotLeader
 from guavastream.fleet import (
-    ClearRequests,
+    ClearSuspects,
+    ExpireSuspects,
     ForgetVersions,
-    RelaxRequests,
     encode_command,
 )
 from guavastream.kernel import part_logger
@@ -65,7 +65,7 @@
         known = tuple(r for r in report.requests if r in self._state.suspects)
         if known:
             await self._propose(
-                ClearRequests(
+                ClearSuspects(
                     requests=known, service=report.service, version=report.version
                 )
             )
@@ -80,7 +80,7 @@
         """
         known = tuple(r for r in requests if r in self._state.suspects)
         if known:
-            await self._propose(RelaxRequests(requests=known, lift=True))
+            await self._propose(ExpireSuspects(requests=known, lift=True))
             log.info(
                 "Suspect requests lifted by an operator: %s.",
                 ", ".join(r.hex() for r in known),
@@ -112,7 +112,7 @@
                 "A request is refused from now on.",
                 extra={
                     "what": request.hex(),
-                    "ended_servers": suspect.ends,
+                    "ended_servers": suspect.crash_count,
                     "places": suspect.places,
                 },
             )
@@ -122,7 +122,7 @@
         """Relax the requests whose number of ends has not changed for long."""
         suspects = self._state.suspects
         now = self._clock()
-        marks = {request: (request, s.ends) for request, s in suspects.items()}
+        marks = {request: (request, s.crash_count) for request, s in suspects.items()}
         self._first_seen = {
             mark: self._first_seen.get(mark, now) for mark in marks.values()
         }
@@ -132,7 +132,7 @@
             if now - self._first_seen[mark] > RELAX_SECONDS
         )
         if old:
-            await self._propose(RelaxRequests(requests=old))
+            await self._propose(ExpireSuspects(requests=old))
 
     async def _forget_versions(self):
         """Forget the versions that no server of a present service runs any more."""
--- a/guavastream/control/tests/test_catching_up.py
+++ b/guavastream/control/tests/test_catching_up.py
@@ -17,8 +17,8 @@
 
 def large_change(version):
     """Return a change with random content, which cannot be compressed."""
-    origin = random.Random(version).randbytes(CHANGE_BYTES)
-    service = ServiceRules(name="s", keyed=True, origin=origin)
+    raw_json = random.Random(version).randbytes(CHANGE_BYTES)
+    service = ServiceRules(name="s", keyed=True, raw_json=raw_json)
     return ChangeRoutes(
         base=version - 1,
         version=version,
--- a/guavastream/control/tests/test_fleet.py
+++ b/guavastream/control/tests/test_fleet.py
@@ -13,15 +13,15 @@
 from guavastream.emulator import FakeNetwork, run_paused
 from guavastream.exception import GuavastreamError, PeerFailure
 from guavastream.fleet import (
-    Beat,
-    BookCodec,
-    ChangedRoutes,
     ChangeRoutes,
+    ChangeRoutesResult,
+    FleetStateCodec,
+    Heartbeat,
     ReadRoutes,
     ReportEnd,
 )
 from guavastream.leases import ControlClient, HoldTiming, Watch
-from guavastream.routes import Part, Repeat, Route, ServiceRules
+from guavastream.routes import RetrySafety, Route, ServiceRules, WeightedService
 
 TIMING = RaftTiming(
     heartbeat=0.08, election_min=0.5, election_max=0.8, lease=0.45, call=0.4
@@ -32,12 +32,12 @@
     name="r",
     host="a",
     prefix="/",
-    repeat=Repeat.SAFE,
+    retry_safety=RetrySafety.SAFE,
     timeout=1.0,
     target=0.1,
     priority=0,
     attempts=1,
-    parts=(Part(service="s"),),
+    weighted_services=(WeightedService(service="s"),),
 )
 FIRST_CHANGE = ChangeRoutes(
     base=0,
@@ -65,7 +65,7 @@
         loop = asyncio.get_running_loop()
         self.starts += 1
         transport = self.network.transport(address)
-        machine = TableStateMachine(codec=BookCodec())
+        machine = TableStateMachine(codec=FleetStateCodec())
         raft = Raft(
             storage=self.storage(str(self.folder / (disk or address))),
             offload=self.offload,
@@ -140,7 +140,9 @@
         )
 
     async def change(self, command):
-        return await self.client().submit(command, timeout=5.0, result=ChangedRoutes)
+        return await self.client().submit(
+            command, timeout=5.0, result=ChangeRoutesResult
+        )
 
     async def read(self):
         answer = await self.client().call(ReadRoutes(), timeout=5.0)
@@ -187,7 +189,7 @@
             if sent >= self.hold_end:
                 self.held = {}
             reported = list(self.released)
-            beat = Beat(
+            beat = Heartbeat(
                 id=self.id,
                 service="s",
                 host=self.id,
@@ -196,7 +198,7 @@
                 zone="z",
                 slots=8,
                 leaving=self.leaving,
-                cold=0.0,
+                cold_seconds=0.0,
                 seq=seq,
                 holds=tuple((k, k, f) for k, f in self.held.items()),
                 released=tuple(reported),
--- a/guavastream/control/tests/test_grants.py
+++ b/guavastream/control/tests/test_grants.py
@@ -10,10 +10,10 @@
 from guavastream.emulator import run_paused
 from guavastream.exception import NotLeader
 from guavastream.fleet import (
-    KEYS,
-    Beat,
-    BookCodec,
+    KEY_COUNT,
+    FleetStateCodec,
     GrantKeys,
+    Heartbeat,
     JoinInstance,
     ReportEnd,
     encode_command,
@@ -45,7 +45,7 @@
 
 
 def heartbeat(seq, wait=0.0):
-    return Beat(
+    return Heartbeat(
         wait=wait,
         id="a",
         service="s",
@@ -55,16 +55,16 @@
         zone="z",
         slots=8,
         leaving=False,
-        cold=0.0,
+        cold_seconds=0.0,
         seq=seq,
-        holds=((0, KEYS - 1, 3),),
+        holds=((0, KEY_COUNT - 1, 3),),
     )
 
 
 def start_leader():
     """Return a leader and its grant manager; server `a` holds all keys."""
     loop = asyncio.get_running_loop()
-    machine = TableStateMachine(codec=BookCodec())
+    machine = TableStateMachine(codec=FleetStateCodec())
     raft = SlowRaft(machine)
     grant_manager = GrantManager(
         raft=raft, machine=machine, clock=loop.time, timing=HOLD_TIMING
@@ -81,7 +81,7 @@
             slots=8,
         )
     )
-    raft.commit(GrantKeys(service="s", rows=((0, KEYS - 1, "a"),)))
+    raft.commit(GrantKeys(service="s", rows=((0, KEY_COUNT - 1, "a"),)))
     return raft, grant_manager
 
 
--- a/guavastream/experiment/model.py
+++ b/guavastream/experiment/model.py
@@ -13,7 +13,7 @@
 import numpy as np
 
 from guavastream.control.loads import KeyLoads
-from guavastream.fleet import KEYS, Instance, Run, cut_runs, find_run
+from guavastream.fleet import KEY_COUNT, Instance, KeyRun, find_run, update_runs
 from guavastream.kernel import Policy, Signal, TimeLimit, replace
 from guavastream.placement import KeyRangeView, plan_key_ranges
 from guavastream.relay import AdmissionQueue, NotRun, Picker, Report, RetryBudget
@@ -169,13 +169,13 @@
                     clock=self._clock, policy=self._policy
                 )
                 self._moving[service.name] = {}
-                self._runs[service.name] = (Run(first=0, last=KEYS - 1),)
+                self._runs[service.name] = (KeyRun(first=0, last=KEY_COUNT - 1),)
                 self._plan(service.name)
 
     def _draw_keys(self, seed):
         """Return where the busiest keys begin, and the weights of all things."""
         rng = np.random.default_rng([seed, 3])
-        return int(rng.integers(0, KEYS)), {}
+        return int(rng.integers(0, KEY_COUNT)), {}
 
     def _start_server(self, service, number):
         scenario = self._scenario
@@ -254,9 +254,9 @@
         first, hot = self._keys
         for fault in self._at_work("hot key"):
             if fault.kind == kind.name and rng.random() < fault.share:
-                return hot.setdefault(fault, int(rng.integers(0, KEYS)))
+                return hot.setdefault(fault, int(rng.integers(0, KEY_COUNT)))
         thing = int(np.searchsorted(popular, rng.random()))
-        return (first + thing) % KEYS
+        return (first + thing) % KEY_COUNT
 
     def _at_work(self, what):
         now = self._clock()
@@ -564,12 +564,12 @@
         self._moving[name].pop((first, last), None)
         if any(server.instance.id == target for server in owners):
             self._grant(name, [(first, last, target)])
-            self.tally.moved += (last - first + 1) / KEYS
+            self.tally.moved += (last - first + 1) / KEY_COUNT
 
     def _grant(self, name, rows):
         if not rows:
             return
-        self._runs[name] = cut_runs(
+        self._runs[name] = update_runs(
             self._runs[name], rows, lambda run, row: replace(run, owner=row[2])
         )
         changed, self._changed = self._changed, Signal(loop=self._loop)
--- a/guavastream/fleet/__init__.py
+++ b/guavastream/fleet/__init__.py
@@ -1,6 +1,6 @@
-"""The replicated book of announced backend servers, their keys and the routes."""
+"""The fleet state: replicated backend servers, ownership of keys and routes."""
 
-from guavastream.fleet import apply  # noqa: F401  (registers what commands do)
+from guavastream.fleet import apply  # noqa: F401  (registers the command handlers)
 from guavastream.fleet.book import *
 from guavastream.fleet.codec import *
 from guavastream.fleet.commands import *
--- a/guavastream/fleet/apply.py
+++ b/guavastream/fleet/apply.py
@@ -1,55 +1,56 @@
-"""What each command does to the book."""
+"""Functions that apply each command to the fleet state."""
 
-from guavastream.fleet.book import Instance, cut_runs, handles, runs_within
+from guavastream.fleet.book import Instance, handles, runs_within, update_runs
 from guavastream.fleet.commands import (
-    ChangedRoutes,
     ChangeRoutes,
-    ClearRequests,
+    ChangeRoutesResult,
+    ClearSuspects,
     EndInstance,
+    ExpireSuspects,
     ForgetVersions,
     GrantKeys,
     JoinInstance,
     LeaveInstance,
-    RelaxRequests,
     ReleaseKeys,
     RemoveInstances,
 )
 from guavastream.fleet.suspects import (
     clear_suspects,
+    expire_suspects,
     forget_versions,
-    note_end,
-    relax_suspects,
+    record_crash,
 )
 from guavastream.kernel import replace
 from guavastream.routes import RouteConfig, check_config
 
 __all__ = []
 
-# Names of instances that never come back; a late message is seconds late, so
-# those of the last few hundred replacements are enough.
-KEPT_GONE = 512
-# Digests of accepted changes; an operator resends for seconds.
-KEPT_ACCEPTED = 1024
+# IDs of removed instances that must not rejoin. A late message is late by seconds,
+# so the IDs of the last few hundred replacements are enough.
+MAX_REMOVED_IDS = 512
+# Operators resend a change for a few seconds at most.
+MAX_ACCEPTED_DIGESTS = 1024
 
 
 @handles(JoinInstance)
-def _join(book, index, command):
-    if command.id in book.gone:
+def _join(state, index, command):
+    if command.id in state.gone:
         return {}, False
     name, address = command.name or command.id, command.address
-    # One address has one listener, and a server that starts again under its
-    # name holds nothing of before: whoever was there has ended.
-    before = [
+    # Only one process can listen on an address, and a server that restarts under
+    # its name no longer holds the keys it had. Any other instance with the same
+    # address or name has therefore ended.
+    conflicting = [
         i
-        for i in book.instances.values()
+        for i in state.instances.values()
         if i.address == address or (i.name or i.id) == name
     ]
-    others = [i for i in before if i.id != command.id]
+    others = [i for i in conflicting if i.id != command.id]
     if any((i.name or i.id) == name and i.born > command.born for i in others):
-        # A message that was held up tells of a life that is over.
+        # The message was delayed and announces an incarnation that has ended.
         return {}, False
-    changes = _without(book, [i.id for i in others], forever=True)
-    known = book.instances.get(command.id)
+    changes = _without_instances(state, [i.id for i in others], forever=True)
+    known = state.instances.get(command.id)
     changes["instances"][command.id] = Instance(
         id=command.id,
         service=command.service,
@@ -68,140 +69,143 @@
 
 
 @handles(LeaveInstance)
-def _leave(book, index, command):
-    instance = book.instances.get(command.id)
+def _mark_leaving(state, index, command):
+    instance = state.instances.get(command.id)
     if instance is None:
         return {}, None
     leaving = replace(instance, leaving=True)
-    return {"instances": book.instances | {leaving.id: leaving}}, None
+    return {"instances": state.instances | {leaving.id: leaving}}, None
 
 
 @handles(RemoveInstances)
-def _remove(book, index, command):
-    return _without(book, command.ids, forever=command.forever), None
+def _remove_instances(state, index, command):
+    return _without_instances(state, command.ids, forever=command.forever), None
 
 
 @handles(EndInstance)
-def _end(book, index, command):
-    suspects, ended = note_end(book.suspects, book.ended, command)
-    ids = (command.id,) if command.id in book.instances else ()
-    changes = _without(book, ids, forever=False)
-    return changes | {"suspects": suspects, "ended": ended}, None
+def _end_instance(state, index, command):
+    suspects, crashes = record_crash(state.suspects, state.crashes, command)
+    ids = (command.id,) if command.id in state.instances else ()
+    changes = _without_instances(state, ids, forever=False)
+    return changes | {"suspects": suspects, "crashes": crashes}, None
 
 
-@handles(ClearRequests)
-def _clear(book, index, command):
+@handles(ClearSuspects)
+def _clear_suspects(state, index, command):
     place = (command.service, command.version)
-    return {"suspects": clear_suspects(book.suspects, command.requests, place)}, None
+    return {"suspects": clear_suspects(state.suspects, command.requests, place)}, None
 
 
-@handles(RelaxRequests)
-def _relax(book, index, command):
+@handles(ExpireSuspects)
+def _expire_suspects(state, index, command):
     if command.lift:
-        known = book.suspects.items()
+        known = state.suspects.items()
         kept = {r: s for r, s in known if r not in command.requests}
         return {"suspects": kept}, None
-    return {"suspects": relax_suspects(book.suspects, command.requests)}, None
+    return {"suspects": expire_suspects(state.suspects, command.requests)}, None
 
 
 @handles(ForgetVersions)
-def _forget_versions(book, index, command):
-    return {"suspects": forget_versions(book.suspects, command.places)}, None
+def _forget_versions(state, index, command):
+    return {"suspects": forget_versions(state.suspects, command.places)}, None
 
 
-def _without(book, ids, *, forever):
-    """Return what changes when instances go, a dict; `instances` is a new one."""
+def _without_instances(state, ids, *, forever):
+    """Return the fields of the fleet state that change when instances are removed.
+
+    The value of `instances` is always a new dict, which the caller may modify.
+    """
     if not ids:
-        # A server that is new takes nobody's place. All hosts make this change
-        # for all others when they start together: 196 times 196 times.
-        return {"instances": dict(book.instances)}
+        # Without a replaced instance, the scan of all runs is skipped. When all
+        # hosts start together, each of 196 hosts applies 196 such commands.
+        return {"instances": dict(state.instances)}
     ids = frozenset(ids)
-    runs = dict(book.runs)
-    for service, old in book.runs.items():
+    runs = dict(state.runs)
+    for service, old in state.runs.items():
         rows = [(r.first, r.last) for r in old if r.owner in ids]
         if rows:
-            runs[service] = cut_runs(old, rows, lambda run, row: _freed(run, ""))
-    gone = book.gone
+            runs[service] = update_runs(old, rows, lambda run, row: _release(run, ""))
+    gone = state.gone
     if forever:
-        gone = (gone + tuple(i for i in ids if i not in gone))[-KEPT_GONE:]
-    instances = {k: i for k, i in book.instances.items() if k not in ids}
+        gone = (gone + tuple(i for i in ids if i not in gone))[-MAX_REMOVED_IDS:]
+    instances = {k: i for k, i in state.instances.items() if k not in ids}
     return {"instances": instances, "runs": runs, "gone": gone}
 
 
-def _freed(run, handover):
+def _release(run, handover):
     return replace(run, owner="", handover=handover)
 
 
 @handles(GrantKeys)
-def _grant(book, index, command):
-    old = book.runs_of(command.service)
-    # A decision made from an older book must not take a key from an owner
-    # that came in between: only rows that are free throughout go over.
+def _grant_keys(state, index, command):
+    old = state.runs_of(command.service)
+    # The grant may have been decided on an older state. Rows in which any key has
+    # been granted since are skipped, so that no owner loses a key.
     rows = [
         row
         for row in command.rows
-        if row[2] in book.instances
+        if row[2] in state.instances
         and all(not run.owner for run in runs_within(old, row[0], row[1]))
     ]
 
-    def take(run, row):
+    def assign(run, row):
         return replace(run, owner=row[2], fence=index)
 
-    runs = cut_runs(old, rows, take)
-    return {"runs": book.runs | {command.service: runs}}, tuple(rows)
+    runs = update_runs(old, rows, assign)
+    return {"runs": state.runs | {command.service: runs}}, tuple(rows)
 
 
 @handles(ReleaseKeys)
-def _release(book, index, command):
-    old = book.runs_of(command.service)
-    instances = book.instances
+def _release_keys(state, index, command):
+    old = state.runs_of(command.service)
+    instances = state.instances
     owner = instances.get(command.owner)
-    # A message that was held up for seconds may tell of an earlier time at
-    # which its sender had the same keys; they must not be taken from it now.
+    # A delayed message may report an earlier release of keys that the sender has
+    # been granted again since; they must stay with it.
     if owner is not None and command.seq:
         if command.seq < owner.released_seq:
             return {}, None
         instances = instances | {owner.id: replace(owner, released_seq=command.seq)}
 
-    def free(run, row):
-        # A release that was sent twice may come after the keys went on.
-        late = len(row) > 3 and row[3] != run.fence
-        return run if late or run.owner != command.owner else _freed(run, row[2])
+    def release(run, row):
+        # A duplicate release may arrive after the keys were granted again.
+        stale = len(row) > 3 and row[3] != run.fence
+        return run if stale or run.owner != command.owner else _release(run, row[2])
 
     rows = command.rows
     if command.fences:
         pairs = zip(command.rows, command.fences, strict=True)
         rows = [(*row, fence) for row, fence in pairs]
-    runs = cut_runs(old, rows, free)
-    return {"runs": book.runs | {command.service: runs}, "instances": instances}, None
+    runs = update_runs(old, rows, release)
+    return {"runs": state.runs | {command.service: runs}, "instances": instances}, None
 
 
 @handles(ChangeRoutes)
-def _change(book, index, command):
-    current = book.config
-    if command.digest in book.accepted:
-        version = book.accepted[command.digest]
-        return {}, ChangedRoutes(code="ok", version=version)
+def _change_routes(state, index, command):
+    current = state.config
+    if command.digest in state.accepted_changes:
+        version = state.accepted_changes[command.digest]
+        return {}, ChangeRoutesResult(code="ok", version=version)
     if command.base != current.version:
-        return {}, ChangedRoutes(code="conflict", version=current.version)
-    config = _changed(current, command)
+        return {}, ChangeRoutesResult(code="conflict", version=current.version)
+    config = _apply_to_config(current, command)
     findings = [str(finding) for finding in check_config(config)]
     if command.version <= current.version:
-        findings.insert(0, f"Version {current.version} is in force already.")
+        findings.insert(0, f"Version {current.version} is already in force.")
     if findings:
-        found = tuple(findings)
-        return {}, ChangedRoutes(
-            code="invalid", version=current.version, findings=found
+        texts = tuple(findings)
+        return {}, ChangeRoutesResult(
+            code="invalid", version=current.version, findings=texts
         )
-    accepted = dict(book.accepted)
+    accepted = dict(state.accepted_changes)
     accepted[command.digest] = config.version
-    while len(accepted) > KEPT_ACCEPTED:
+    while len(accepted) > MAX_ACCEPTED_DIGESTS:
         del accepted[next(iter(accepted))]
-    answer = ChangedRoutes(code="ok", version=config.version)
-    return {"config": config, "accepted": accepted}, answer
+    answer = ChangeRoutesResult(code="ok", version=config.version)
+    return {"config": config, "accepted_changes": accepted}, answer
 
 
-def _changed(current, command):
+def _apply_to_config(current, command):
     routes, services = {}, {}
     limits = command.limits
     if not command.whole:
--- a/guavastream/fleet/codec.py
+++ b/guavastream/fleet/codec.py
@@ -1,28 +1,28 @@
-"""Books and their commands as bytes, for the log and for watchers."""
+"""Encoding of fleet states and commands, for the log and for watchers."""
 
 import msgspec
 
-from guavastream.fleet.book import Book
+from guavastream.fleet.book import FleetState
 from guavastream.messages import pack, unpack
 from guavastream.replica import TableCodec, decode_command, encode_command
 
-__all__ = ["BookCodec"]
+__all__ = ["FleetStateCodec"]
 
-_decoder = msgspec.msgpack.Decoder(Book)
+_decoder = msgspec.msgpack.Decoder(FleetState)
 
 
-class BookCodec(TableCodec):
-    """Lets the control log and its watchers keep a book.
+class FleetStateCodec(TableCodec):
+    """Encodes and decodes fleet states for the control log and its watchers.
 
     Examples
     --------
-    >>> codec = BookCodec()
-    >>> codec.decode(codec.encode(Book(index=3))).index
+    >>> codec = FleetStateCodec()
+    >>> codec.decode(codec.encode(FleetState(index=3))).index
     3
     """
 
     def empty(self):
-        return Book()
+        return FleetState()
 
     def encode(self, table):
         return pack(msgspec.msgpack.encode(table))
--- a/guavastream/fleet/commands.py
+++ b/guavastream/fleet/commands.py
@@ -1,18 +1,18 @@
-"""Commands that change the book."""
+"""Commands of the replicated log that change the fleet state."""
 
 from guavastream.messages import message
 from guavastream.routes import CallerLimits, Route, ServiceRules
 
 __all__ = [
     "ChangeRoutes",
-    "ChangedRoutes",
-    "ClearRequests",
+    "ChangeRoutesResult",
+    "ClearSuspects",
     "EndInstance",
     "ForgetVersions",
     "GrantKeys",
     "JoinInstance",
     "LeaveInstance",
-    "RelaxRequests",
+    "ExpireSuspects",
     "ReleaseKeys",
     "RemoveInstances",
 ]
@@ -20,12 +20,30 @@
 
 @message
 class JoinInstance:
-    """A backend server announced itself.
-
-    `id` names this life of the server; `name`, if it is not the same, what the
-    server calls itself, and `born` orders the lives of one name. `door` is where
-    requests for it are taken, `address` where it listens itself, `version` that of
-    its software.
+    """Add an incarnation of a backend server, or update a known one.
+
+    Parameters
+    ----------
+    id : str
+        Unique identifier of the incarnation.
+    service : str
+        Name of the service that the server belongs to.
+    host : str
+        Host that it runs on.
+    door : str
+        Address of the guavastream process beside it, which takes its requests.
+    address : str
+        Address that the server itself listens on.
+    zone : str
+        Availability zone.
+    slots : int
+        Requests that it runs at the same time.
+    name : str
+        Name of the server, which stays the same when it restarts; "" if it is `id`.
+    born : int
+        Start time, which orders the incarnations of one name; 0 if unknown.
+    version : str
+        Version of the server's software.
     """
 
     id: str
@@ -42,17 +60,17 @@
 
 @message
 class LeaveInstance:
-    """A backend server said that it leaves; it gets no new work."""
+    """Mark a backend server as leaving, so that it gets no new work."""
 
     id: str
 
 
 @message
 class RemoveInstances:
-    """Backend servers are gone: what they held may go to others.
+    """Remove backend servers and free their keys.
 
-    Those in `forever` ended or were replaced at their address; a late message
-    of theirs must not bring them back.
+    With `forever` set, the servers have ended or were replaced at their address,
+    and a late message from them must not add them again.
     """
 
     ids: tuple[str, ...]
@@ -61,9 +79,10 @@
 
 @message
 class EndInstance:
-    """A life of a backend server has ended of itself, while it had `requests`.
+    """Remove a backend server that ended on its own, and note the requests it ran.
 
-    `requests` are fingerprints, `version` is that of the server's software.
+    `id` identifies the incarnation, `requests` are the fingerprints of the requests
+    that it was running, and `version` is the version of the server's software.
     """
 
     id: str
@@ -73,18 +92,22 @@
     version: str = ""
 
 
-@message
-class ClearRequests:
-    """Servers of a service, in a version, have answered requests that were suspect."""
+@message(tag="ClearRequests")
+class ClearSuspects:
+    """Clear suspect requests that a server of this service and version answered."""
 
     requests: tuple[bytes, ...]
     service: str
     version: str = ""
 
 
-@message
-class RelaxRequests:
-    """Suspect requests have long done no harm; with `lift` they are forgotten."""
+@message(tag="RelaxRequests")
+class ExpireSuspects:
+    """Relax suspect requests that have caused no crash for a long time.
+
+    Refused ones are allowed again until their next crash, and others are dropped.
+    With `lift` set, an operator has released them, and all are dropped.
+    """
 
     requests: tuple[bytes, ...]
     lift: bool = False
@@ -92,14 +115,14 @@
 
 @message
 class ForgetVersions:
-    """Pairs of service and version of which no server is left."""
+    """Forget pairs of service and version (`places`) that have no server left."""
 
     places: tuple[tuple[str, str], ...]
 
 
 @message
 class GrantKeys:
-    """Rows of (first, last, owner) go to their owners under a new fence."""
+    """Grant rows of (first, last, owner) to their owners under a new fence."""
 
     service: str
     rows: tuple[tuple[int, int, str], ...]
@@ -107,11 +130,12 @@
 
 @message
 class ReleaseKeys:
-    """An owner gave up rows of (first, last, handover); "" is no handover.
+    """Free rows of (first, last, handover) that their owner has released.
 
-    A late message must not free what its sender was granted since. It is told
-    by `seq`, which numbers the owner's messages, or by `fences`, one for each
-    row: only what was granted under that one is freed.
+    An empty `handover` means that the owner left no data for the next one. A late
+    message must not free keys that its sender was granted again since. It is
+    recognised by `seq`, the sequence number of the owner's messages, or by `fences`,
+    one for each row: only keys that were granted under that fence are freed.
     """
 
     service: str
@@ -123,11 +147,11 @@
 
 @message
 class ChangeRoutes:
-    """An operator changes the configuration that has version `base`.
+    """Change the configuration of version `base` to `version`.
 
-    `digest` names the change: one that was accepted is acknowledged again.
-    With `whole` the given items are all there is, otherwise they are added
-    or replace those of the same name.
+    `digest` identifies the change, so that an accepted one is acknowledged again
+    when it is resent. With `whole` set, the given items replace the configuration.
+    Otherwise they are added to it or replace the items of the same name.
     """
 
     base: int
@@ -141,9 +165,13 @@
     drop_services: tuple[str, ...] = ()
 
 
-@message
-class ChangedRoutes:
-    """What became of a change: `code` is ok, conflict or invalid."""
+@message(tag="ChangedRoutes")
+class ChangeRoutesResult:
+    """Result of `ChangeRoutes`.
+
+    `code` is "ok", "conflict" or "invalid". `version` is the version that the change
+    created, or the current one if it was refused; `findings` are the reasons.
+    """
 
     code: str
     version: int
--- a/guavastream/fleet/messages.py
+++ b/guavastream/fleet/messages.py
@@ -1,24 +1,53 @@
-"""Messages between processes beside backend servers and control hosts."""
+"""Messages to control hosts from the processes beside backend servers."""
 
 from guavastream.messages import message
 from guavastream.routes import RouteConfig
 
-__all__ = ["Beat", "Beaten", "Depart", "JoinVoters", "LiftSuspects", "LoadReport"]
-__all__ += ["ReadRoutes", "RenewKeys", "ReportAnswered", "ReportEnd", "ReturnKeys"]
-__all__ += ["RoutesRead"]
-
-
-@message
-class Beat:
-    """A backend server's heartbeat, as the process beside it passes it on.
-
-    `id` names one life of the server, from its start to its end. `name` is what
-    it calls itself, which may be the same in its next life; `born` orders the
-    lives of one name, 0 if that is not known. `version` is that of its software.
-    `holds` are rows of (first, last, fence) that it holds or still works on,
-    `released` rows of (first, last, handover) that it gave up since its last
-    acknowledged heartbeat. The answer may take up to `wait` seconds, so that
-    a grant that is about to come need not wait for the next heartbeat.
+__all__ = ["CurrentRoutes", "Depart", "Heartbeat", "HeartbeatAnswer", "JoinVoters"]
+__all__ += ["LiftSuspects", "LoadReport", "ReadRoutes", "RenewKeys", "ReportAnswered"]
+__all__ += ["ReportEnd", "ReturnKeys"]
+
+
+@message(tag="Beat", encoded_names={"cold_seconds": "cold"})
+class Heartbeat:
+    """Heartbeat of a backend server, forwarded by the process beside it.
+
+    Parameters
+    ----------
+    id : str
+        Unique identifier of the incarnation.
+    service : str
+        Name of the service that the server belongs to.
+    host : str
+        Host that it runs on.
+    door : str
+        Address of the guavastream process beside it, which takes its requests.
+    address : str
+        Address that the server itself listens on.
+    zone : str
+        Availability zone.
+    slots : int
+        Requests that it runs at the same time.
+    leaving : bool
+        Whether it is about to stop and gets no new work.
+    cold_seconds : float
+        Time for which it still warms up.
+    seq : int
+        Sequence number of the heartbeat.
+    holds : tuple of tuple
+        Rows of (first, last, fence) that it holds or still works on.
+    released : tuple of tuple
+        Rows of (first, last, handover) that it released since its last
+        acknowledged heartbeat.
+    wait : float
+        Time that the answer may take, seconds. An imminent grant can then be sent
+        without waiting for the next heartbeat.
+    name : str
+        Name of the server, which stays the same when it restarts; "" if it is `id`.
+    born : int
+        Start time, which orders the incarnations of one name; 0 if unknown.
+    version : str
+        Version of the server's software.
     """
 
     id: str
@@ -29,7 +58,7 @@
     zone: str
     slots: int
     leaving: bool
-    cold: float
+    cold_seconds: float
     seq: int
     holds: tuple[tuple[int, int, int], ...] = ()
     released: tuple[tuple[int, int, str], ...] = ()
@@ -39,19 +68,19 @@
     version: str = ""
 
 
-@message
+@message(encoded_names={"sender_id": "asker"})
 class RenewKeys:
-    """A process asks what the server beside it may hold, and for how long.
+    """Ask which keys a server may hold, and renew its lease on them.
 
-    For servers that are granted keys by calls. `holds` and `drops` are what
-    it was last told; the answer may take up to `wait` seconds while there is
-    nothing else to say. `asker` names the life of the process, whose messages
-    `seq` numbers.
+    Sent by the process beside a server that is granted keys by calls, and answered
+    by a `HeartbeatAnswer`. `holds` and `drops` are as in the last answer. While they
+    are unchanged, the answer may be delayed by up to `wait` seconds. `sender_id`
+    identifies the run of the sending process, whose messages `seq` numbers.
     """
 
     id: str
     service: str
-    asker: str
+    sender_id: str
     seq: int
     holds: tuple[tuple[int, int, int], ...] = ()
     drops: tuple[tuple[int, int, int], ...] = ()
@@ -60,22 +89,33 @@
 
 @message
 class ReturnKeys:
-    """Rows of (first, last, fence, handover) that a server holds no more."""
+    """Return rows of (first, last, fence, handover) that a server no longer holds."""
 
     id: str
     service: str
     rows: tuple[tuple[int, int, int, str], ...]
 
 
-@message
-class Beaten:
-    """Answer to a heartbeat, or to a renewal of keys.
-
-    `rows` of (first, last, fence, handover) are all that the server is to
-    hold for `hold` seconds from when the message was sent; None renews
-    nothing. `drops` are rows of (first, last, fence) that it is to release.
-    `gone` says that this life of the server is over, `new` that nobody knew
-    of it before this heartbeat.
+@message(tag="Beaten")
+class HeartbeatAnswer:
+    """Answer to a `Heartbeat` or to `RenewKeys`.
+
+    Parameters
+    ----------
+    index : int
+        Log index of the fleet state that the answer is based on.
+    rows : tuple of tuple or None
+        All rows of (first, last, fence, handover) that the server is to hold. None
+        renews nothing.
+    hold : float
+        Duration of the lease on `rows`, seconds. It starts when the message that is
+        answered was sent.
+    gone : bool
+        Whether this incarnation has been removed for good.
+    drops : tuple of tuple
+        Rows of (first, last, fence) that the server is to release.
+    new : bool
+        Whether the incarnation was unknown before this heartbeat.
     """
 
     index: int
@@ -88,16 +128,17 @@
 
 @message
 class Depart:
-    """A backend server says that it ends soon, without a heartbeat."""
+    """Announce, outside of a heartbeat, that a backend server is about to end."""
 
     id: str
 
 
 @message
 class ReportEnd:
-    """The process beside a server has found that a life of it has ended.
+    """Report that the local backend server has ended on its own.
 
-    `requests` are fingerprints of what it had then, `version` is that of its software.
+    `id` identifies the incarnation, `requests` are the fingerprints of the requests
+    that it was running, and `version` is the version of its software.
     """
 
     id: str
@@ -109,7 +150,7 @@
 
 @message
 class ReportAnswered:
-    """A server has answered requests that were suspect, by their fingerprints."""
+    """Report the fingerprints of suspect requests that a server has answered."""
 
     requests: tuple[bytes, ...]
     service: str
@@ -118,41 +159,42 @@
 
 @message
 class LiftSuspects:
-    """An operator says that requests, by their fingerprints, do no harm any more."""
+    """Release suspect requests by fingerprint, on behalf of an operator."""
 
     requests: tuple[bytes, ...]
 
 
-@message
+@message(encoded_names={"other_count": "rest"})
 class LoadReport:
-    """Requests for each key since the last report, and the time they take.
+    """Report the number of requests for each key since the last report.
 
-    `keys` are pairs of key and count, the busiest ones; `latency` is the
-    smoothed time of a request at the server, seconds, 0 if unknown.
+    `keys` are pairs of key and count for the busiest keys, `other_count` is the
+    number of requests for all other keys. `latency` is the smoothed time that the
+    server takes for a request, seconds, or 0 if unknown.
     """
 
     id: str
     service: str
     keys: tuple[tuple[int, int], ...]
-    rest: int
+    other_count: int
     latency: float
 
 
 @message
 class ReadRoutes:
-    """Asks for the newest configuration."""
+    """Ask for the newest configuration."""
 
 
-@message
-class RoutesRead:
-    """The newest configuration, as the leader knows for sure."""
+@message(tag="RoutesRead")
+class CurrentRoutes:
+    """Answer to `ReadRoutes`: the newest configuration, confirmed by the leader."""
 
     config: RouteConfig
 
 
 @message
 class JoinVoters:
-    """A control host that does not vote asks the leader to let it."""
+    """Ask the leader to make a control host a voter."""
 
     voter: str
     address: str
--- a/guavastream/fleet/rows.py
+++ b/guavastream/fleet/rows.py
@@ -1,10 +1,10 @@
-"""Rows of adjacent keys: pairs of the first and the last."""
+"""Operations on rows: tuples that begin with the first and last key of a range."""
 
-__all__ = ["rows_overlap", "rows_without"]
+__all__ = ["rows_overlap", "subtract_range"]
 
 
 def rows_overlap(row, other):
-    """Whether two rows have a key in common; further fields do not matter.
+    """Return whether two rows have a key in common; further fields are ignored.
 
     Examples
     --------
@@ -14,21 +14,21 @@
     return row[0] <= other[1] and other[0] <= row[1]
 
 
-def rows_without(rows, window):
-    """Return what is left of rows (first, last) where a window is taken out.
+def subtract_range(rows, removed):
+    """Return rows (first, last) without the keys of another row.
 
     Examples
     --------
-    >>> rows_without([(0, 9), (20, 29)], (5, 24))
+    >>> subtract_range([(0, 9), (20, 29)], (5, 24))
     [(0, 4), (25, 29)]
     """
-    left = []
+    remaining = []
     for first, last in rows:
-        if window[1] < first or last < window[0]:
-            left.append((first, last))
+        if removed[1] < first or last < removed[0]:
+            remaining.append((first, last))
             continue
-        if first < window[0]:
-            left.append((first, window[0] - 1))
-        if window[1] < last:
-            left.append((window[1] + 1, last))
-    return left
+        if first < removed[0]:
+            remaining.append((first, removed[0] - 1))
+        if removed[1] < last:
+            remaining.append((removed[1] + 1, last))
+    return remaining
--- a/guavastream/fleet/shorten.py
+++ b/guavastream/fleet/shorten.py
@@ -1,43 +1,43 @@
-"""A whole configuration as what it changes, which is most often very little."""
+"""Reduces a change of the whole configuration to the items that differ."""
 
 from guavastream.kernel import replace
 from guavastream.routes import CallerLimits
 
-__all__ = ["shorten_change"]
+__all__ = ["make_incremental"]
 
 
-def shorten_change(command, config):
-    """Return a change with the same effect that names only what differs.
+def make_incremental(command, config):
+    """Return an equivalent change that contains only the items that differ.
 
-        Operators may send a configuration whole for the sake of one route. In full
-        it would be kept in the log and sent to every host: 400 KB for 1,200 routes,
-        to each of some thousand hosts, at each of thousands of changes a day.
+    Operators may send the whole configuration to change one route. The log and
+    every host would receive all of it: 400 KB for 1,200 routes, to each of some
+    thousand hosts, for each of thousands of changes a day.
 
-        Parameters
-        ----------
-        command : ChangeRoutes
-            A change as its operator made it.
-        config : RouteConfig
-            The newest configuration. A change that builds on another one stays as
-            it is. It is refused when it is applied, as the shortened one would be
-            if another change came in between.
+    Parameters
+    ----------
+    command : ChangeRoutes
+        Change as sent by the operator.
+    config : RouteConfig
+        Newest configuration. A change that is based on another version is returned
+        as it is and refused when it is applied. A reduced change is refused as
+        well if another change is applied before it.
 
-        Returns
-        -------
-        ChangeRoutes
+    Returns
+    -------
+    ChangeRoutes
 
-        Examples
-        --------
+    Examples
+    --------
     >>> from guavastream.fleet.commands import ChangeRoutes
     >>> from guavastream.routes import RouteConfig, ServiceRules
-        >>> a, b, c = (ServiceRules(name=name) for name in "abc")
-        >>> config = RouteConfig(version=1, services={"a": a, "b": b})
-        >>> change = ChangeRoutes(
-        ...     base=1, version=2, digest=b"", whole=True, services=(a, c)
-        ... )
-        >>> short = shorten_change(change, config)
-        >>> short.services == (c,), short.drop_services, short.whole
-        (True, ('b',), False)
+    >>> a, b, c = (ServiceRules(name=name) for name in "abc")
+    >>> config = RouteConfig(version=1, services={"a": a, "b": b})
+    >>> change = ChangeRoutes(
+    ...     base=1, version=2, digest=b"", whole=True, services=(a, c)
+    ... )
+    >>> reduced = make_incremental(change, config)
+    >>> reduced.services == (c,), reduced.drop_services, reduced.whole
+    (True, ('b',), False)
     """
     if not command.whole or command.base != config.version:
         return command
@@ -55,7 +55,7 @@
 
 
 def _difference(items, known):
-    """Return the items that differ from the known ones, and names that went."""
+    """Return the new or changed items, and the names of the removed ones."""
     wanted = {item.name: item for item in items}
     changed = tuple(item for name, item in wanted.items() if known.get(name) != item)
     return changed, tuple(name for name in known if name not in wanted)
--- a/guavastream/fleet/suspects.py
+++ b/guavastream/fleet/suspects.py
@@ -1,175 +1,194 @@
-"""Requests that servers had as they ended, and which of them is to blame."""
+"""Detects the requests that crash the servers they run on."""
 
 from zlib import crc32
 
 from guavastream.kernel import record, replace
 
-__all__ = ["ENOUGH_ENDS", "EndedLife", "Suspect"]
-
-# Lives of servers that end under a request before it is refused.
-ENOUGH_ENDS = 3
-# Suspects that a book keeps. Those under which the fewest servers ended go first,
-# so that many of them drive out no request that is refused.
-MOST_SUSPECTS = 512
-# Of these, those under which more than one server ended.
-MOST_KNOWN = 384
-# Of each of them: the latest lives and places, which tell a report that comes
-# twice, and where it is harmful.
-KEPT_LIVES = 8
-KEPT_PLACES = 8
-# Ends of servers that are remembered to tell a server that ends of itself.
-KEPT_ENDS = 64
-
-
-@record
+__all__ = ["CRASHES_BEFORE_REFUSAL", "ServerCrash", "Suspect"]
+
+# Crashes of servers under a request after which it is refused.
+CRASHES_BEFORE_REFUSAL = 3
+# Suspects that the fleet state keeps. Those with the fewest crashes are evicted first,
+# so that a flood of new suspects cannot evict a request that is refused.
+MAX_SUSPECTS = 512
+# Limit of suspects with more than one crash. Beyond it, refused requests are evicted
+# first, which leaves room for new suspects.
+MAX_REPEATED_SUSPECTS = 384
+# Incarnations kept for each suspect, to ignore a report that arrives twice.
+MAX_INCARNATIONS = 8
+# Pairs of service and version kept for each suspect, which limit where it is refused.
+MAX_PLACES = 8
+# Crashes kept to detect a host whose servers crash without harmful requests.
+MAX_CRASHES = 64
+
+
+@record(encoded_names={"crash_count": "ends", "incarnations": "lives"})
 class Suspect:
-    """A request under which lives of servers ended, not answered since.
+    """A request that was running when servers crashed, and was not answered since.
 
     Parameters
     ----------
-    ends : int
-        Lives that ended while they had it.
-    lives : tuple of int
-        Marks of the latest of these.
+    crash_count : int
+        Number of servers that crashed while they ran it.
+    incarnations : tuple of int
+        CRC-32 of the IDs of the latest of these servers' incarnations.
     places : tuple of tuple
-        Pairs of service and software version of which these were.
+        Pairs of service and software version of the servers that crashed.
     hosts : tuple of str
-        Where the first two ended that were not at one host, or the one.
+        The first two different hosts of these servers, or the only one.
     refused : bool
-        Whether it is to blame: it is sent to no server of these places.
+        Whether it is considered harmful and not sent to servers of `places`.
     """
 
-    ends: int
-    lives: tuple[int, ...]
+    crash_count: int
+    incarnations: tuple[int, ...]
     places: tuple[tuple[str, str], ...]
     hosts: tuple[str, ...]
     refused: bool = False
 
 
-@record
-class EndedLife:
-    """A life of a server that ended of itself, by its mark, and where.
+@record(encoded_names={"incarnation": "life"})
+class ServerCrash:
+    """The end of a server that was not removed but ended on its own.
 
-    `explained` tells that it had a request under which others had ended before.
+    Parameters
+    ----------
+    incarnation : int
+        CRC-32 of the ID of the server's incarnation.
+    host : str
+        Host that the server ran on.
+    explained : bool
+        Whether it ran a request under which another server had crashed before.
     """
 
-    life: int
+    incarnation: int
     host: str
     explained: bool
 
 
-def note_end(suspects, ended, end):
-    """Return the suspects and the ended lives after one more has ended.
+def record_crash(suspects, crashes, end):
+    """Return the suspects and the latest crashes after another server has crashed.
 
     Parameters
     ----------
     suspects : dict of bytes to Suspect
-        By fingerprint, those that were noted last at the end.
-    ended : tuple of EndedLife
-        The latest ones.
+        Suspects by fingerprint, the least recently reported first.
+    crashes : tuple of ServerCrash
+        The latest crashes.
     end : EndInstance
-        Which life, and the fingerprints of what it had.
+        The incarnation that ended, and fingerprints of the requests that it ran.
 
     Returns
     -------
     suspects : dict of bytes to Suspect
-    ended : tuple of EndedLife
+    crashes : tuple of ServerCrash
 
     Notes
     -----
-    All that a server had is suspect, most of it innocent, and the innocent come
-    again too. So the one is refused under which the most lives ended, and only if
-    no other under which as many did was there: hosts let those that were there
-    twice run one at a time, and whatever is innocent is answered then. A server
-    that has ended without it as often as under it ends for reasons of its own.
+    Every request that was running becomes a suspect. Most of them are harmless, and
+    harmless ones may be retried and be running at the next crash too. Therefore only
+    the request with the most crashes is refused, and only if no other request of the
+    same server has as many. Hosts run requests with two crashes one at a time, so
+    harmless ones are answered, which clears them. A request that has crashed servers
+    of one host only is not refused if they crash without it as often as with it.
 
     Examples
     --------
     >>> from guavastream.fleet.commands import EndInstance
-    >>> suspects, ended = {}, ()
+    >>> suspects, crashes = {}, ()
     >>> for n in (1, 2, 3):
     ...     end = EndInstance(
     ...         id=f"i{n}", service="s", host=f"h{n}", requests=(b"bad", b"%d" % n)
     ...     )
-    ...     suspects, ended = note_end(suspects, ended, end)
+    ...     suspects, crashes = record_crash(suspects, crashes, end)
     >>> [r for r, suspect in suspects.items() if suspect.refused]
     [b'bad']
     """
-    life = crc32(end.id.encode())
-    noted = {}
+    incarnation = crc32(end.id.encode())
+    reported = {}
     for request in end.requests:
         before = suspects.get(request)
-        if before is None or life not in before.lives:
-            noted[request] = _after(before, life, end)
-    most = max((suspect.ends for suspect in noted.values()), default=0)
-    if all(other.life != life for other in ended):
-        last = EndedLife(life=life, host=end.host, explained=most > 1)
-        ended = (*ended, last)[-KEPT_ENDS:]
-    blamed = [r for r, suspect in noted.items() if suspect.ends == most]
-    if most >= ENOUGH_ENDS and len(blamed) == 1:
-        suspect = noted[blamed[0]]
-        if not _ends_without(suspect, ended):
-            noted[blamed[0]] = replace(suspect, refused=True)
+        if before is None or incarnation not in before.incarnations:
+            reported[request] = _count_crash(before, incarnation, end)
+    most = max((suspect.crash_count for suspect in reported.values()), default=0)
+    if all(other.incarnation != incarnation for other in crashes):
+        crash = ServerCrash(incarnation=incarnation, host=end.host, explained=most > 1)
+        crashes = (*crashes, crash)[-MAX_CRASHES:]
+    most_suspect = [r for r, suspect in reported.items() if suspect.crash_count == most]
+    if most >= CRASHES_BEFORE_REFUSAL and len(most_suspect) == 1:
+        suspect = reported[most_suspect[0]]
+        if not _crashes_without(suspect, crashes):
+            reported[most_suspect[0]] = replace(suspect, refused=True)
     after = dict(suspects)
-    for request, suspect in noted.items():
+    for request, suspect in reported.items():
         after.pop(request, None)
         after[request] = suspect
-    _bound(after)
-    return after, ended
+    _evict_excess(after)
+    return after, crashes
 
 
-def _after(suspect, life, end):
+def _count_crash(suspect, incarnation, end):
     place = (end.service, end.version)
     if suspect is None:
-        return Suspect(ends=1, lives=(life,), places=(place,), hosts=(end.host,))
+        return Suspect(
+            crash_count=1,
+            incarnations=(incarnation,),
+            places=(place,),
+            hosts=(end.host,),
+        )
     places = suspect.places
     if place not in places:
-        places = (*places, place)[-KEPT_PLACES:]
+        places = (*places, place)[-MAX_PLACES:]
     hosts = suspect.hosts
     if end.host not in hosts:
         hosts = (*hosts, end.host)[:2]
     return replace(
         suspect,
-        ends=suspect.ends + 1,
-        lives=(*suspect.lives, life)[-KEPT_LIVES:],
+        crash_count=suspect.crash_count + 1,
+        incarnations=(*suspect.incarnations, incarnation)[-MAX_INCARNATIONS:],
         places=places,
         hosts=hosts,
     )
 
 
-def _ends_without(suspect, ended):
-    """Whether the only host that lost servers under a request loses them anyway."""
+def _crashes_without(suspect, crashes):
+    """Return whether the only host of a suspect has as many crashes without it."""
     if len(suspect.hosts) > 1:
         return False
     without = sum(
-        last.host == suspect.hosts[0]
-        and last.life not in suspect.lives
-        and not last.explained
-        for last in ended
+        crash.host == suspect.hosts[0]
+        and crash.incarnation not in suspect.incarnations
+        and not crash.explained
+        for crash in crashes
     )
-    return without >= suspect.ends
+    return without >= suspect.crash_count
 
 
-def _bound(suspects):
-    """Take out the least suspect ones beyond `MOST_SUSPECTS`, the oldest first."""
-    excess = len(suspects) - MOST_SUSPECTS
+def _evict_excess(suspects):
+    """Evict the least suspicious requests beyond `MAX_SUSPECTS`, oldest first."""
+    excess = len(suspects) - MAX_SUSPECTS
     if excess <= 0:
         return
-    # After the loss of many servers most are there once, and nothing need be sorted.
-    gone = [r for r, suspect in suspects.items() if suspect.ends == 1]
-    if len(suspects) - len(gone) > MOST_KNOWN:
-        # What is new would else go at once, and never be found out.
-        gone = [r for r, suspect in suspects.items() if suspect.refused]
-    if len(gone) < excess:
-        gone = sorted(suspects, key=lambda r: (suspects[r].refused, suspects[r].ends))
-    for request in gone[:excess]:
+    # If many servers crash at once, most suspects have one crash. They are evicted
+    # without sorting all suspects.
+    candidates = [r for r, suspect in suspects.items() if suspect.crash_count == 1]
+    if len(suspects) - len(candidates) > MAX_REPEATED_SUSPECTS:
+        # Suspects with one crash are kept here, as new ones would otherwise be
+        # evicted at once and never reach the number of crashes for a refusal.
+        candidates = [r for r, suspect in suspects.items() if suspect.refused]
+    if len(candidates) < excess:
+        candidates = sorted(
+            suspects, key=lambda r: (suspects[r].refused, suspects[r].crash_count)
+        )
+    for request in candidates[:excess]:
         del suspects[request]
 
 
 def clear_suspects(suspects, requests, place):
-    """Return the suspects without those that a server of a place has answered.
+    """Return the suspects without those that a server of `place` has answered.
 
-    An answer elsewhere says nothing: one version may bear what another does not.
+    `place` is a pair of service and version. Suspects that crashed no server of it
+    are kept, since a request may crash one version and be harmless to another.
     """
     return {
         r: suspect
@@ -178,35 +197,43 @@
     }
 
 
-def relax_suspects(suspects, requests):
-    """Return the suspects with a refused request on trial, and others forgotten.
+def expire_suspects(suspects, requests):
+    """Return the suspects after some have caused no crash for a long time.
 
-    A request on trial ends one server more, if it is still harmful.
+    A refused request is allowed again, but refused after one more crash. Other
+    requests are no longer suspects.
 
     Examples
     --------
     >>> bad = Suspect(
-    ...     ends=5, lives=(1,), places=(("s", ""),), hosts=("h",), refused=True
+    ...     crash_count=5,
+    ...     incarnations=(1,),
+    ...     places=(("s", ""),),
+    ...     hosts=("h",),
+    ...     refused=True,
     ... )
-    >>> tried = relax_suspects({b"bad": bad, b"other": bad}, (b"bad",))
-    >>> tried[b"bad"].refused, tried[b"bad"].ends
+    >>> expired = expire_suspects({b"bad": bad, b"other": bad}, (b"bad",))
+    >>> expired[b"bad"].refused, expired[b"bad"].crash_count
     (False, 2)
-    >>> list(relax_suspects(tried, (b"bad",)))
+    >>> list(expire_suspects(expired, (b"bad",)))
     [b'other']
     """
-    relaxed = {}
+    remaining = {}
     for request, suspect in suspects.items():
         if request not in requests:
-            relaxed[request] = suspect
+            remaining[request] = suspect
         elif suspect.refused:
-            relaxed[request] = replace(suspect, ends=ENOUGH_ENDS - 1, refused=False)
-    return relaxed
+            remaining[request] = replace(
+                suspect, crash_count=CRASHES_BEFORE_REFUSAL - 1, refused=False
+            )
+    return remaining
 
 
 def forget_versions(suspects, gone):
     """Return the suspects without the places in `gone`, which have no server left.
 
-    What was harmful there only is not suspect any more: it may be mended.
+    A request that crashed only such versions is no longer a suspect, as the fault
+    may be fixed in the current ones.
     """
     kept = {}
     for request, suspect in suspects.items():
--- a/guavastream/fleet/tests/test_codec.py
+++ b/guavastream/fleet/tests/test_codec.py
@@ -1,10 +1,10 @@
-"""Books and commands that were written before are still read."""
+"""Fleet states and commands written by earlier versions can be decoded."""
 
 import msgspec
 
 from guavastream.fleet import (
-    Book,
-    BookCodec,
+    FleetState,
+    FleetStateCodec,
     LeaveInstance,
     decode_command,
     encode_command,
@@ -13,26 +13,26 @@
 from guavastream.messages import encode_message
 
 
-def without(raw, *names):
+def drop_fields(raw, *names):
     return {name: value for name, value in raw.items() if name not in names}
 
 
-def test_a_command_and_a_book_that_are_not_compressed_are_read():
+def test_an_uncompressed_command_and_fleet_state_are_decoded():
     command = LeaveInstance(id="a" * 5000)
     plain = msgspec.msgpack.encode(encode_message(command))
     assert decode_command(plain) == decode_command(encode_command(command)) == command
     assert len(encode_command(command)) < len(plain)
-    book, _ = Book().apply(1, join("a"))
-    assert BookCodec().decode(msgspec.msgpack.encode(book)) == book
+    state, _ = FleetState().apply(1, join("a"))
+    assert FleetStateCodec().decode(msgspec.msgpack.encode(state)) == state
 
 
-def test_an_instance_without_name_and_start_is_read():
-    # Written by a version that knew servers by their ids alone: after an
-    # upgrade the data folder must still tell who owns which keys.
-    book, _ = Book().apply(1, join("a"))
-    raw = msgspec.msgpack.decode(msgspec.msgpack.encode(book), strict=False)
+def test_an_instance_without_name_and_start_time_is_decoded():
+    # Earlier versions stored only the ID of an instance. The data folder that they
+    # wrote must still provide the owners of all keys after an upgrade.
+    state, _ = FleetState().apply(1, join("a"))
+    raw = msgspec.msgpack.decode(msgspec.msgpack.encode(state), strict=False)
     raw["instances"] = {
-        id: without(item, "name", "born") for id, item in raw["instances"].items()
+        id: drop_fields(item, "name", "born") for id, item in raw["instances"].items()
     }
-    read = BookCodec().decode(msgspec.msgpack.encode(raw))
-    assert read.instances["a"].called == "a" and read.instances["a"].born == 0
+    read = FleetStateCodec().decode(msgspec.msgpack.encode(raw))
+    assert read.instances["a"].server_name == "a" and read.instances["a"].born == 0
--- a/guavastream/fleet/tests/test_shorten.py
+++ b/guavastream/fleet/tests/test_shorten.py
@@ -1,11 +1,17 @@
-"""A shortened change has the effect of the whole one, whatever it changes."""
+"""An incremental change has the same effect as the full change it is made from."""
 
 import random
 
 import pytest
 
-from guavastream.fleet import Book, ChangeRoutes, shorten_change
-from guavastream.routes import CallerLimits, Part, Repeat, Route, ServiceRules
+from guavastream.fleet import ChangeRoutes, FleetState, make_incremental
+from guavastream.routes import (
+    CallerLimits,
+    RetrySafety,
+    Route,
+    ServiceRules,
+    WeightedService,
+)
 
 
 def random_change(rng, base, version):
@@ -19,12 +25,12 @@
             name=name,
             host="a",
             prefix=rng.choice((f"/{name}/", f"/{name}/x/", "/same/")),
-            repeat=Repeat.SAFE,
+            retry_safety=RetrySafety.SAFE,
             timeout=rng.choice((0.0, 1.0, 1.0, 1.0)),
             target=0.1,
             priority=0,
             attempts=1,
-            parts=(Part(service=rng.choice("stu")),),
+            weighted_services=(WeightedService(service=rng.choice("stu")),),
         )
         for name in rng.choices("abcdefgh", k=5)
     ]
@@ -40,21 +46,27 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_the_effect_is_that_of_the_whole_change(seed):
+def test_an_incremental_change_has_the_effect_of_the_full_one(seed):
     rng = random.Random(seed)
-    book = Book()
-    taken = 0
+    state = FleetState()
+    accepted = 0
     for version in range(1, 400):
-        base = book.config.version if rng.random() < 0.9 else rng.randrange(version)
+        base = state.config.version if rng.random() < 0.9 else rng.randrange(version)
         change = random_change(rng, base, version)
-        short = shorten_change(change, book.config)
+        reduced = make_incremental(change, state.config)
         if rng.random() < 0.1:
-            # Another change is committed before this one.
-            other = random_change(rng, book.config.version, version)
-            book, _ = book.apply(book.index + 1, other)
-        whole, said = book.apply(book.index + 1, change)
-        book, said_short = book.apply(book.index + 1, short)
-        assert said_short.code == said.code and said_short.version == said.version
-        assert book.config == whole.config and book.accepted == whole.accepted
-        taken += said.code == "ok"
-    assert taken > 10
+            # Another change is committed first.
+            other = random_change(rng, state.config.version, version)
+            state, _ = state.apply(state.index + 1, other)
+        expected, result = state.apply(state.index + 1, change)
+        state, reduced_result = state.apply(state.index + 1, reduced)
+        assert (
+            reduced_result.code == result.code
+            and reduced_result.version == result.version
+        )
+        assert (
+            state.config == expected.config
+            and state.accepted_changes == expected.accepted_changes
+        )
+        accepted += result.code == "ok"
+    assert accepted > 10
--- a/guavastream/hosts/admin.py
+++ b/guavastream/hosts/admin.py
@@ -63,7 +63,7 @@
         return [
             SuspectRow(
                 request=print.hex(),
-                ended_servers=suspect.ends,
+                ended_servers=suspect.crash_count,
                 refused=suspect.refused,
                 places=list(suspect.places),
                 hosts=list(suspect.hosts),
--- a/guavastream/hosts/control_host.py
+++ b/guavastream/hosts/control_host.py
@@ -10,7 +10,12 @@
 from guavastream.control.storage import Storage
 from guavastream.control.suspects import SuspectManager
 from guavastream.control.voter import RaftTiming
-from guavastream.fleet import BookCodec, ChangedRoutes, LiftSuspects, ReadRoutes
+from guavastream.fleet import (
+    ChangeRoutesResult,
+    FleetStateCodec,
+    LiftSuspects,
+    ReadRoutes,
+)
 from guavastream.hosts.tasks import Tasks
 from guavastream.kernel import Counters, part_logger, steady_time
 from guavastream.leases import ControlClient
@@ -51,7 +56,7 @@
         self._control = ControlClient(
             transport=self._transport, addresses=settings.seeds
         )
-        machine = TableStateMachine(codec=BookCodec())
+        machine = TableStateMachine(codec=FleetStateCodec())
         self._machine = machine
         self._raft = Raft(
             storage=Storage(folder=settings.data),
@@ -143,7 +148,7 @@
         """
         self._know_leader()
         return await self._control.submit(
-            command, timeout=CHANGE_SECONDS, result=ChangedRoutes
+            command, timeout=CHANGE_SECONDS, result=ChangeRoutesResult
         )
 
     async def read_routes(self):
--- a/guavastream/hosts/key_keeper.py
+++ b/guavastream/hosts/key_keeper.py
@@ -244,7 +244,7 @@
         request = RenewKeys(
             id=life.instance.id,
             service=life.instance.service,
-            asker=self._asker,
+            sender_id=self._asker,
             seq=life.seq,
             holds=holds,
             drops=drops,
--- a/guavastream/hosts/server_host.py
+++ b/guavastream/hosts/server_host.py
@@ -5,7 +5,7 @@
 import random
 
 from guavastream.exception import GuavastreamError
-from guavastream.fleet import BookCodec, Depart, LiftSuspects, LoadReport
+from guavastream.fleet import Depart, FleetStateCodec, LiftSuspects, LoadReport
 from guavastream.hosts.book_follower import BookFollower
 from guavastream.hosts.end_reporter import EndReporter
 from guavastream.hosts.key_keeper import KeyKeeper, KeySender
@@ -115,7 +115,7 @@
         self._control = ControlClient(
             transport=self._transport, addresses=settings.seeds
         )
-        self._books = TableHolder(codec=BookCodec())
+        self._books = TableHolder(codec=FleetStateCodec())
         self._follower = BookFollower(
             control=self._control,
             books=self._books,
@@ -404,7 +404,7 @@
         known = {
             i.born: i.id
             for i in self._books.table.instances.values()
-            if i.called == name
+            if i.server_name == name
         }
         # The book may not show yet what the last heartbeat told.
         beat = self._newest_beats.get(name)
@@ -453,7 +453,7 @@
                 id=local[-1].id,
                 service=local[-1].service,
                 keys=keys,
-                rest=sum(count for _, count in busiest[REPORTED_KEYS:]),
+                other_count=sum(count for _, count in busiest[REPORTED_KEYS:]),
                 latency=self._guard.report().seconds,
             )
             with contextlib.suppress(GuavastreamError):
--- a/guavastream/hosts/tests/orders.py
+++ b/guavastream/hosts/tests/orders.py
@@ -7,7 +7,7 @@
 from guavastream.control.tests.test_fleet import FIRST_CHANGE, ControlCluster
 from guavastream.emulator import FakeNetwork, run_paused
 from guavastream.exception import GuavastreamError
-from guavastream.fleet import Beat, BookCodec, LoadReport, ReportEnd
+from guavastream.fleet import FleetStateCodec, Heartbeat, LoadReport, ReportEnd
 from guavastream.hosts.key_keeper import KeyKeeper
 from guavastream.http1 import CutOff, NotSent
 from guavastream.leases import HoldTiming
@@ -165,7 +165,7 @@
     def start_process(self):
         """Start the process beside the server, which knows nothing yet."""
         control = self.fleet.core.client(self.name)
-        books = TableHolder(codec=BookCodec())
+        books = TableHolder(codec=FleetStateCodec())
         self.keeper = KeyKeeper(
             control=control,
             sender=self.fleet.path,
@@ -216,7 +216,7 @@
     async def _beat(self, id):
         client = self.fleet.core.client(self.name)
         for seq in range(1, 10**6):
-            beat = Beat(
+            beat = Heartbeat(
                 id=id,
                 service="s",
                 host=self.name,
@@ -225,7 +225,7 @@
                 zone="z",
                 slots=8,
                 leaving=self.leaving,
-                cold=0.0,
+                cold_seconds=0.0,
                 seq=seq,
             )
             try:
@@ -352,7 +352,7 @@
         first = self._rng.randrange(0, 60000)
         keys = tuple((first + n, self._rng.randint(5, 60)) for n in range(0, 4000, 200))
         report = LoadReport(
-            id=place.server.id, service="s", keys=keys, rest=20, latency=0.1
+            id=place.server.id, service="s", keys=keys, other_count=20, latency=0.1
         )
         await self._try(client.call(report, timeout=0.5))
 
--- a/guavastream/hosts/tests/rig.py
+++ b/guavastream/hosts/tests/rig.py
@@ -9,12 +9,12 @@
 from guavastream.control.tests.test_fleet import ControlCluster
 from guavastream.emulator import DialectServer, FakeNetwork, FakePeers, run_paused
 from guavastream.exception import GuavastreamError
-from guavastream.fleet import Beat, ChangeRoutes
+from guavastream.fleet import ChangeRoutes, Heartbeat
 from guavastream.hosts import FleetSettings
 from guavastream.hosts.server_host import ServerHost
 from guavastream.http1 import Client, CutOff, NotSent
 from guavastream.relay import Dialect, fingerprint
-from guavastream.routes import Part, Repeat, Route, ServiceRules
+from guavastream.routes import RetrySafety, Route, ServiceRules, WeightedService
 
 __all__ = ["Caller", "DIALECT", "Fleet", "Place", "Recurring", "play_fleet"]
 
@@ -36,12 +36,12 @@
         name=name,
         host="a.example",
         prefix=f"/{name}/",
-        repeat=repeat,
+        retry_safety=repeat,
         timeout=TIMEOUT,
         target=0.3,
         priority=1,
         attempts=2,
-        parts=(Part(service=service),),
+        weighted_services=(WeightedService(service=service),),
     )
 
 
@@ -51,9 +51,9 @@
     digest=b"first",
     whole=True,
     routes=(
-        make_route("page", "pages", Repeat.SAFE),
-        make_route("order", "orders", Repeat.UNSAFE),
-        make_route("load", "orders", Repeat.UPLOAD),
+        make_route("page", "pages", RetrySafety.SAFE),
+        make_route("order", "orders", RetrySafety.UNSAFE),
+        make_route("load", "orders", RetrySafety.UPLOAD),
     ),
     services=(
         ServiceRules(name="pages", keyed=True),
@@ -170,7 +170,7 @@
         released = ()
         for seq in range(1, 10**6):
             sent = loop.time()
-            beat = Beat(
+            beat = Heartbeat(
                 id=f"{server.id}~{self.lives}",
                 service=self.service,
                 host=self.ip,
@@ -179,7 +179,7 @@
                 zone="a",
                 slots=server.slots,
                 leaving=False,
-                cold=0.0,
+                cold_seconds=0.0,
                 seq=seq,
                 holds=tuple(row[:3] for row in self._rows),
                 released=released,
--- a/guavastream/hosts/tests/test_book_follower.py
+++ b/guavastream/hosts/tests/test_book_follower.py
@@ -23,11 +23,11 @@
 
 from guavastream.control.tests.test_fleet import start_control_cluster
 from guavastream.emulator import run_paused
-from guavastream.fleet import Book, BookCodec, ChangeRoutes
+from guavastream.fleet import ChangeRoutes, FleetState, FleetStateCodec
 from guavastream.hosts.book_follower import BookFollower
 from guavastream.leases import Watch, Watched
 from guavastream.replica import TableHolder
-from guavastream.routes import Part, Repeat, Route
+from guavastream.routes import RetrySafety, Route, WeightedService
 
 HOST = "10.2.0.1:1"
 # What is left of a link of 4 Mbit/s, of which bodies of requests take half.
@@ -47,7 +47,7 @@
 
     def route():
         name, prefix = f"r-{word(7)}", f"/{word(8)}/{word(4)}/"
-        origin = (
+        raw_json = (
             f'{{"host":"a","prefix":"{prefix}","repeat":"safe","timeout":"2000ms",'
             '"target":"1200ms","priority":2,"service":"s","attempts":2,"parts":1}'
         )
@@ -55,13 +55,13 @@
             name=name,
             host="a",
             prefix=prefix,
-            repeat=Repeat.SAFE,
+            retry_safety=RetrySafety.SAFE,
             timeout=2.0,
             target=1.2,
             priority=2,
             attempts=2,
-            parts=(Part(service="s"),),
-            origin=origin.encode(),
+            weighted_services=(WeightedService(service="s"),),
+            raw_json=raw_json.encode(),
         )
 
     return tuple(route() for _ in range(ROUTES))
@@ -82,7 +82,7 @@
 
     def __init__(self, core):
         self.versions = []
-        self.books = TableHolder(codec=BookCodec())
+        self.books = TableHolder(codec=FleetStateCodec())
         self._follower = BookFollower(
             control=core.client(HOST),
             books=self.books,
@@ -178,7 +178,7 @@
         Watched(table=encode_book(index="of a later format")),
         Watched(commands=((10**6, b"\x92\xa4Noop\xc1"),)),
         Watched(commands=((10**6, encode_later_command()),)),
-        Watched(table=BookCodec().encode(Book(index=1))),
+        Watched(table=FleetStateCodec().encode(FleetState(index=1))),
     ],
     ids=["bytes", "compressed", "book", "command", "later-command", "older"],
 )
--- a/guavastream/hosts/tests/test_cut_off.py
+++ b/guavastream/hosts/tests/test_cut_off.py
@@ -12,7 +12,7 @@
 )
 from guavastream.emulator import run_paused
 from guavastream.exception import GuavastreamError, PeerFailure
-from guavastream.fleet import Beat, BookCodec
+from guavastream.fleet import FleetStateCodec, Heartbeat
 from guavastream.hosts.book_follower import BookFollower
 from guavastream.leases import ControlClient, Watch
 from guavastream.messages import RelayDesk, Relayed, RelayingTransport, encode_message
@@ -42,7 +42,7 @@
         self.control = ControlClient(transport=self.transport, addresses=core.addresses)
         self.desk = RelayDesk(transport=self.transport, targets=lambda: core.addresses)
         core.network.serve(address, self._serve)
-        self.books = TableHolder(codec=BookCodec())
+        self.books = TableHolder(codec=FleetStateCodec())
         follower = BookFollower(
             control=self.control,
             books=self.books,
@@ -62,7 +62,7 @@
         loop = asyncio.get_running_loop()
         holds = ()
         for seq in range(1, 10**6):
-            beat = Beat(
+            beat = Heartbeat(
                 id=self.address,
                 service="s",
                 host=self.address,
@@ -71,7 +71,7 @@
                 zone="z",
                 slots=8,
                 leaving=False,
-                cold=0.0,
+                cold_seconds=0.0,
                 seq=seq,
                 holds=holds,
             )
--- a/guavastream/hosts/tests/test_in_force.py
+++ b/guavastream/hosts/tests/test_in_force.py
@@ -25,7 +25,7 @@
     start_control_cluster,
 )
 from guavastream.emulator import FakeNetwork, run_paused
-from guavastream.fleet import BookCodec, ChangeRoutes
+from guavastream.fleet import ChangeRoutes, FleetStateCodec
 from guavastream.hosts.book_follower import BookFollower
 from guavastream.hosts.control_host import TIMING
 from guavastream.leases import ControlClient, Watch
@@ -45,7 +45,7 @@
     def __init__(self, core, number, *, first):
         self.address = f"10.2.0.{number}:1"
         self.in_force = {}
-        self.books = TableHolder(codec=BookCodec())
+        self.books = TableHolder(codec=FleetStateCodec())
         order = core.addresses[first:] + core.addresses[:first]
         follower = BookFollower(
             control=ControlClient(
--- a/guavastream/hosts/tests/test_pace.py
+++ b/guavastream/hosts/tests/test_pace.py
@@ -13,7 +13,12 @@
 from guavastream.control.machine import TableStateMachine
 from guavastream.control.watching import WatchService
 from guavastream.emulator import FakeNetwork, run_paused
-from guavastream.fleet import BookCodec, JoinInstance, LeaveInstance, encode_command
+from guavastream.fleet import (
+    FleetStateCodec,
+    JoinInstance,
+    LeaveInstance,
+    encode_command,
+)
 from guavastream.hosts.book_follower import ANSWERS_PER_SECOND, BookFollower
 from guavastream.kernel import Signal, TimeLimit
 from guavastream.leases import ControlClient
@@ -62,7 +67,7 @@
 def start(*, hosts):
     """Return the log of control hosts that know so many servers, and a follower."""
     network = FakeNetwork(seed=1)
-    machine = TableStateMachine(codec=BookCodec())
+    machine = TableStateMachine(codec=FleetStateCodec())
     log = Log(machine)
     clock = asyncio.get_running_loop().time
     desk = WatchService(raft=log, machine=machine, clock=clock)
@@ -90,7 +95,7 @@
 
     def __init__(self, network):
         self.answers = 0
-        self.books = TableHolder(codec=BookCodec())
+        self.books = TableHolder(codec=FleetStateCodec())
         transport = network.transport("10.2.0.1:1")
         follower = BookFollower(
             control=ControlClient(transport=transport, addresses=CONTROL_HOSTS),
--- a/guavastream/hosts/tests/test_power_returns.py
+++ b/guavastream/hosts/tests/test_power_returns.py
@@ -17,7 +17,7 @@
 
 from guavastream.control.tests.test_fleet import start_control_cluster
 from guavastream.emulator import run_paused
-from guavastream.fleet import BookCodec, ChangeRoutes
+from guavastream.fleet import ChangeRoutes, FleetStateCodec
 from guavastream.hosts.book_follower import BookFollower
 from guavastream.hosts.tests.test_book_follower import NARROW, large_change
 from guavastream.replica import TableHolder
@@ -44,7 +44,7 @@
         self._start()
 
     def _start(self):
-        self.books = TableHolder(codec=BookCodec())
+        self.books = TableHolder(codec=FleetStateCodec())
         follower = BookFollower(
             control=self._core.client(self._address),
             books=self.books,
--- a/guavastream/leases/keys.py
+++ b/guavastream/leases/keys.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from guavastream.fleet import KEYS, rows_overlap, rows_without
+from guavastream.fleet import KEY_COUNT, rows_overlap, subtract_range
 from guavastream.kernel import record
 
 __all__ = ["DRIFT", "MARGIN_SECONDS", "KeyCall", "KeyLeases"]
@@ -183,7 +183,7 @@
         self._heard_at = clock()
         self._lost = 0
         # What a predecessor of this process may have sent.
-        self._unknown = ((0, KEYS - 1), self._bound(self._heard_at, self._longest))
+        self._unknown = ((0, KEY_COUNT - 1), self._bound(self._heard_at, self._longest))
         self._doubts = [self._unknown]
 
     @property
@@ -238,7 +238,7 @@
             pieces = [row]
             for kept in self._rows:
                 if kept.fence == fence:
-                    pieces = rows_without(pieces, kept.row)
+                    pieces = subtract_range(pieces, kept.row)
             for piece in pieces:
                 self._drop(piece, fence, before)
 
@@ -247,7 +247,7 @@
         pieces = [(first, last)]
         for old in self._given_up:
             if old.fence == fence:
-                pieces = rows_without(pieces, old.row)
+                pieces = subtract_range(pieces, old.row)
         return pieces
 
     def _inherit(self, piece, fence, handover, before):
--- a/guavastream/leases/tests/test_keys.py
+++ b/guavastream/leases/tests/test_keys.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given, strategies as st
 
-from guavastream.fleet import KEYS, Beaten
+from guavastream.fleet import KEY_COUNT, HeartbeatAnswer
 from guavastream.leases import KeyLeases
 from guavastream.leases.keys import (
     DARK_CALLS,
@@ -19,7 +19,7 @@
 SLOW_CLOCK = 1 / 0.98
 # After this time each row is due for renewal, and still held.
 RENEWAL = LONGEST_HOLD * RENEW_SHARES[1]
-ALL = (0, KEYS - 1, 7, "")
+ALL = (0, KEY_COUNT - 1, 7, "")
 
 
 class Bench:
@@ -32,7 +32,7 @@
         self.now += 2 * LONGEST_HOLD
 
     def tell(self, *rows, drops=(), age=0.0):
-        answer = Beaten(index=1, rows=rows, hold=HOLD, drops=drops)
+        answer = HeartbeatAnswer(index=1, rows=rows, hold=HOLD, drops=drops)
         self.leases.take(answer, sent=self.now - age)
 
     def granted(self, *rows):
@@ -80,7 +80,7 @@
 def test_a_part_is_released_and_the_rest_renewed():
     bench = Bench()
     bench.granted(ALL)
-    bench.tell((0, 9, 7, ""), (20, KEYS - 1, 7, ""))
+    bench.tell((0, 9, 7, ""), (20, KEY_COUNT - 1, 7, ""))
     (call,) = bench.leases.due()
     assert call.row == (10, 19) and not call.hold
     assert bench.leases.covers(5) and not bench.leases.covers(15)
@@ -90,7 +90,7 @@
     bench.tell(ALL)
     bench.now += RENEWAL
     rows = {call.row for call in bench.leases.due()}
-    assert rows == {(0, 9), (20, KEYS - 1)}
+    assert rows == {(0, 9), (20, KEY_COUNT - 1)}
     bench.leases.note_told(bench.leases.returned())
     assert not bench.leases.returned()
 
@@ -123,7 +123,7 @@
         bench.now = max(bench.now, bench.leases.next_at())
     bench.now += 2 * LONGEST_HOLD
     assert not bench.leases.due()
-    assert bench.leases.returned() == ((0, KEYS - 1, 7, ""),)
+    assert bench.leases.returned() == ((0, KEY_COUNT - 1, 7, ""),)
 
 
 def test_a_refused_fence_is_never_used_again():
@@ -137,9 +137,9 @@
     bench.tell(ALL)
     assert not bench.leases.due()
     bench.now += 2 * LONGEST_HOLD
-    assert bench.leases.returned() == ((0, KEYS - 1, 7, ""),)
+    assert bench.leases.returned() == ((0, KEY_COUNT - 1, 7, ""),)
     bench.leases.note_told(bench.leases.returned())
-    bench.tell((0, KEYS - 1, 9, ""))
+    bench.tell((0, KEY_COUNT - 1, 9, ""))
     assert [call.fence for call in bench.leases.due()] == [9]
 
 
@@ -148,7 +148,7 @@
     now = 100.0
     leases = KeyLeases(clock=lambda: now, rng=random.Random(1))
     drops = ((0, 9, 7),)
-    leases.take(Beaten(index=1, rows=(), hold=HOLD, drops=drops), sent=now)
+    leases.take(HeartbeatAnswer(index=1, rows=(), hold=HOLD, drops=drops), sent=now)
     (release,) = leases.due()
     leases.note_done(release)
     assert not leases.returned()
@@ -162,7 +162,7 @@
     leases = KeyLeases(clock=lambda: now, rng=random.Random(1))
     leases.note_new()
     drops = ((0, 9, 7),)
-    leases.take(Beaten(index=1, rows=(), hold=HOLD, drops=drops), sent=now)
+    leases.take(HeartbeatAnswer(index=1, rows=(), hold=HOLD, drops=drops), sent=now)
     (release,) = leases.due()
     leases.note_done(release)
     assert leases.returned()
--- a/guavastream/placement/runs.py
+++ b/guavastream/placement/runs.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from heapq import nlargest
 
-from guavastream.fleet import KEYS, rows_without
+from guavastream.fleet import KEY_COUNT, subtract_range
 from guavastream.kernel import Policy
 
 __all__ = ["KeyRangePlan", "KeyRangeView", "plan_key_ranges"]
@@ -53,7 +53,7 @@
 
     Parameters
     ----------
-    runs : tuple of Run
+    runs : tuple of KeyRun
         All keys as ranges, with their owners.
     capacity : dict of str to float
         Requests per second that each server can process; without leaving servers.
@@ -104,7 +104,7 @@
             area_rates = (sum(area_rates),)
         total = self.prefix_sums[-1] + view.other_load + sum(area_rates)
         even = (max(total, 1.0) * EVEN_SHARE + view.other_load) / len(area_rates)
-        self._area_size = KEYS / len(area_rates)
+        self._area_size = KEY_COUNT / len(area_rates)
         self._area_prefix_sums = [0.0]
         for rate in area_rates:
             self._area_prefix_sums.append(self._area_prefix_sums[-1] + rate + even)
@@ -140,9 +140,9 @@
 
     Examples
     --------
-    >>> from guavastream.fleet import Run
+    >>> from guavastream.fleet import KeyRun
     >>> view = KeyRangeView(
-    ...     runs=(Run(first=0, last=KEYS - 1),), capacity={"a": 1.0, "b": 1.0}
+    ...     runs=(KeyRun(first=0, last=KEY_COUNT - 1),), capacity={"a": 1.0, "b": 1.0}
     ... )
     >>> plan = plan_key_ranges(view)
     >>> len(plan.grants), sorted({row[2] for row in plan.grants})
@@ -191,7 +191,7 @@
     ranges_per_server = min(
         MAX_INITIAL_RANGES, max(MIN_INITIAL_RANGES, INITIAL_RANGES_TOTAL // servers)
     )
-    size = max(1, KEYS // (servers * ranges_per_server))
+    size = max(1, KEY_COUNT // (servers * ranges_per_server))
     for first, last in free:
         while last - first + 1 >= 2 * size:
             yield first, first + size - 1
@@ -221,7 +221,7 @@
     """Return moves from the most to the least utilized servers."""
     moves = []
     capacity = view.capacity
-    mean = loads.of(0, KEYS - 1) / sum(capacity.values())
+    mean = loads.of(0, KEY_COUNT - 1) / sum(capacity.values())
     upper_bound = max(mean * HYSTERESIS, LOW_UTILIZATION)
     while len(moves) + len(view.moving) < MAX_MOVES:
         busiest = max(utilization, key=utilization.get)
@@ -252,7 +252,7 @@
         range_counts[target] += 1
         # A cut in the middle of a range leaves its owner with one range more.
         range_counts[busiest] += 1
-        held[busiest] = rows_without(held[busiest], chosen)
+        held[busiest] = subtract_range(held[busiest], chosen)
     return moves
 
 
@@ -302,7 +302,7 @@
     """
     if wanted <= 0:
         return None
-    best, shortest = None, KEYS + 1
+    best, shortest = None, KEY_COUNT + 1
     fallback, fallback_load = None, 0.0
     for candidate in _candidates(loads, ranges, wanted):
         load = loads.of(*candidate)
--- a/guavastream/placement/tests/test_runs.py
+++ b/guavastream/placement/tests/test_runs.py
@@ -4,18 +4,18 @@
 
 import pytest
 
-from guavastream.fleet import KEYS, Run, cut_runs
+from guavastream.fleet import KEY_COUNT, KeyRun, update_runs
 from guavastream.kernel import replace
 from guavastream.placement import KeyRangeView, plan_key_ranges
 
-ALL_FREE = (Run(first=0, last=KEYS - 1),)
+ALL_FREE = (KeyRun(first=0, last=KEY_COUNT - 1),)
 
 
 def apply_plan(runs, plan):
     def set_owner(run, row):
         return replace(run, owner=row[2])
 
-    return cut_runs(runs, [*plan.grants, *plan.moves], set_owner)
+    return update_runs(runs, [*plan.grants, *plan.moves], set_owner)
 
 
 def utilization(runs, capacity, load, other_load=0.0):
@@ -23,7 +23,7 @@
     found = dict.fromkeys(capacity, 0.0)
     for run in runs:
         busy = sum(v for k, v in load.items() if run.first <= k <= run.last)
-        even = other_load * (run.last - run.first + 1) / KEYS
+        even = other_load * (run.last - run.first + 1) / KEY_COUNT
         if run.owner in found:
             found[run.owner] += (busy + even) / capacity[run.owner]
     return found
@@ -39,7 +39,7 @@
         plan = plan_key_ranges(view)
         moved += sum(last - first + 1 for first, last, _ in plan.moves)
         runs = apply_plan(runs, plan)
-    return runs, moved / KEYS
+    return runs, moved / KEY_COUNT
 
 
 def imbalance(runs, capacity, load, other_load=0.0):
@@ -54,7 +54,7 @@
     rng = random.Random(seed)
     load = {}
     for rank in range(1, keys + 1):
-        key = min(KEYS - 1, int(abs(rng.gauss(0, 3000))))
+        key = min(KEY_COUNT - 1, int(abs(rng.gauss(0, 3000))))
         load[key] = load.get(key, 0.0) + 1 / rank**0.84
     scale = total / sum(load.values())
     return {key: value * scale for key, value in load.items()}
@@ -99,7 +99,7 @@
 def test_balanced_service_moves_no_keys():
     rng = random.Random(1)
     runs, _ = rebalance(ALL_FREE, CAPACITY, {}, other_load=300.0)
-    load = {rng.randrange(KEYS): 1.0 for _ in range(100)}
+    load = {rng.randrange(KEY_COUNT): 1.0 for _ in range(100)}
     runs, _ = rebalance(runs, CAPACITY, load, other_load=200.0)
     _, moved = rebalance(runs, CAPACITY, load, other_load=200.0, rounds=3)
     assert moved == 0
@@ -137,8 +137,8 @@
     rng = random.Random(4)
     for seed in range(30):
         load = skewed_load(seed)
-        shift = rng.randrange(KEYS)
-        load = {(key + shift) % KEYS: value for key, value in load.items()}
+        shift = rng.randrange(KEY_COUNT)
+        load = {(key + shift) % KEY_COUNT: value for key, value in load.items()}
         runs, _ = rebalance(runs, CAPACITY, load, rounds=2)
     counts = {n: sum(run.owner == n for run in runs) for n in CAPACITY}
     assert max(counts.values()) <= 90
--- a/guavastream/platform/emulator/server.py
+++ b/guavastream/platform/emulator/server.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from guavastream.emulator import DialectServer
-from guavastream.fleet import rows_without
+from guavastream.fleet import subtract_range
 from guavastream.platform.emulator.machine import HEARTBEAT, call
 from guavastream.platform.keys import GRANT_PATH, RELEASE_PATH
 from guavastream.platform.units import parse_time
@@ -218,7 +218,7 @@
     def _cut(self, first, last):
         rows, self._rows = self._rows, []
         for a, b, fence, until in rows:
-            pieces = rows_without([(a, b)], (first, last))
+            pieces = subtract_range([(a, b)], (first, last))
             self._rows += [(*piece, fence, until) for piece in pieces]
 
     async def _take_release(self, body, responder):
--- a/guavastream/platform/keys.py
+++ b/guavastream/platform/keys.py
@@ -42,7 +42,7 @@
         return [
             (b"Host", instance.address.encode()),
             (b"Content-Type", b"application/json"),
-            (b"Expected-Instance", instance.called.encode()),
+            (b"Expected-Instance", instance.server_name.encode()),
         ]
 
     def encode(self, call):
--- a/guavastream/platform/tests/test_fuzz.py
+++ b/guavastream/platform/tests/test_fuzz.py
@@ -13,7 +13,7 @@
 from hypothesis import HealthCheck, given, settings, strategies as st
 
 from guavastream.exception import FindingsError
-from guavastream.fleet import Beat, Book, ChangeRoutes, encode_command
+from guavastream.fleet import ChangeRoutes, FleetState, Heartbeat, encode_command
 from guavastream.http1.message import Headers
 from guavastream.kernel import parse_address
 from guavastream.messages import decode_message, encode_message
@@ -104,7 +104,7 @@
         assert error.findings
         return
     tag, encoded = encode_message(beat)
-    assert isinstance(decode_message(tag, encoded), Beat)
+    assert isinstance(decode_message(tag, encoded), Heartbeat)
     assert len(encoded) <= MOST_BEAT
     ip, port = parse_address(beat.address)
     assert port
@@ -139,14 +139,14 @@
         return
     again = decode_command(encode_command(command))
     assert isinstance(again, ChangeRoutes)
-    book, answer = Book().apply(1, again)
+    book, answer = FleetState().apply(1, again)
     if answer.code != "ok":
         return
     index = RouteIndex(book.config)
     for route in book.config.routes.values():
         assert index.find(route.host.encode(), route.prefix.encode()) is not None
-        weights = [part.weight for part in route.parts]
-        assert random.choices(route.parts, weights)
+        weights = [part.weight for part in route.weighted_services]
+        assert random.choices(route.weighted_services, weights)
 
 
 @fuzz
--- a/guavastream/platform/tests/test_wire.py
+++ b/guavastream/platform/tests/test_wire.py
@@ -5,14 +5,14 @@
 import pytest
 
 from guavastream.exception import FindingsError
-from guavastream.fleet import Beaten, Book
+from guavastream.fleet import FleetState, HeartbeatAnswer
 from guavastream.platform.wire import (
     decode_beat,
     decode_change,
     encode_beaten,
     encode_config,
 )
-from guavastream.routes import Granting, Repeat, RouteIndex
+from guavastream.routes import Granting, RetrySafety, RouteIndex
 
 ROUTE = {
     "Host": "Jepu9.example",
@@ -63,12 +63,12 @@
 def test_a_configuration_is_read_and_given_back_as_it_was_sent():
     command = put(CONFIG)
     assert (command.base, command.version, command.whole) == (5, 12, True)
-    book, answer = Book().apply(1, put(CONFIG, b"0"))
+    book, answer = FleetState().apply(1, put(CONFIG, b"0"))
     assert answer.code == "ok"
     assert json.loads(encode_config(book.config)) == CONFIG
     route = RouteIndex(book.config).find(b"jepu9.example", b"/lepu270/2f")
-    assert route.repeat is Repeat.UNSAFE and route.timeout == 1.2
-    assert [part.weight for part in route.parts] == [90, 10]
+    assert route.retry_safety is RetrySafety.UNSAFE and route.timeout == 1.2
+    assert [part.weight for part in route.weighted_services] == [90, 10]
     assert book.config.limits.idle_seconds == 15.0
 
 
@@ -130,7 +130,7 @@
 
 def test_a_heartbeat_is_read():
     made = beat(State="draining")
-    assert made.leaving and made.cold == 1.5 and made.holds == ((0, 4095, 7),)
+    assert made.leaving and made.cold_seconds == 1.5 and made.holds == ((0, 4095, 7),)
     assert made.released == ((4096, 8191, "5c0e"),)
 
 
@@ -153,17 +153,17 @@
 
 
 def test_an_acknowledgement_without_rows_renews_nothing():
-    assert json.loads(encode_beaten(Beaten(index=1))) == {}
-    none = Beaten(index=1, rows=(), hold=3.0)
+    assert json.loads(encode_beaten(HeartbeatAnswer(index=1))) == {}
+    none = HeartbeatAnswer(index=1, rows=(), hold=3.0)
     assert json.loads(encode_beaten(none)) == {"Holds": [], "Hold": "3000ms"}
-    rows = Beaten(index=1, rows=((0, 9, 4, ""), (20, 30, 5, "t")), hold=3.0)
+    rows = HeartbeatAnswer(index=1, rows=((0, 9, 4, ""), (20, 30, 5, "t")), hold=3.0)
     said = json.loads(encode_beaten(rows))
     assert said["Holds"] == [[0, 9, 4, ""], [20, 30, 5, "t"]]
 
 
 def test_the_largest_acknowledgement_stays_within_its_bound():
     rows = tuple((65000 + n, 65000 + n, 10**6, "f" * 16) for n in range(90))
-    assert len(encode_beaten(Beaten(index=1, rows=rows, hold=3.0))) <= 4096
+    assert len(encode_beaten(HeartbeatAnswer(index=1, rows=rows, hold=3.0))) <= 4096
 
 
 @pytest.mark.parametrize(
--- a/guavastream/platform/wire.py
+++ b/guavastream/platform/wire.py
@@ -6,7 +6,7 @@
 import xxhash
 
 from guavastream.exception import Finding, FindingsError
-from guavastream.fleet import KEYS, Beat, ChangeRoutes
+from guavastream.fleet import KEY_COUNT, ChangeRoutes, Heartbeat
 from guavastream.kernel import parse_address
 from guavastream.platform.keys import GRANTING, MOST_HANDOVER
 from guavastream.platform.units import (
@@ -19,10 +19,10 @@
 from guavastream.routes import (
     CallerLimits,
     Granting,
-    Part,
-    Repeat,
+    RetrySafety,
     Route,
     ServiceRules,
+    WeightedService,
 )
 
 __all__ = ["DIALECT", "decode_beat", "decode_change", "decode_left"]
@@ -42,7 +42,7 @@
 
 DRAINING = "draining"
 STATES = ("ready", DRAINING)
-# Kinds of requests are the words of `Repeat`.
+# Kinds of requests are the words of `RetrySafety`.
 MOST_ID = 200
 # Bounds of what is taken from other writers: whatever passes is kept in the book
 # and sent to all hosts. Numbers are those that messages can carry; a heartbeat
@@ -69,7 +69,7 @@
 class _Route(msgspec.Struct, rename="pascal"):
     host: str
     path_prefix: str
-    kind: Repeat
+    kind: RetrySafety
     timeout: str
     max_attempts: _Count
     # The time within which an answer earns its full credit.
@@ -157,7 +157,7 @@
 
 
 def decode_beat(id, data, *, host, door):
-    """Return the `Beat` of a heartbeat's body.
+    """Return the `Heartbeat` of a heartbeat's body.
 
     Raises
     ------
@@ -171,7 +171,7 @@
     ]
     if findings:
         raise FindingsError(findings)
-    return Beat(
+    return Heartbeat(
         id=f"{id}{LIFE_MARK}{raw.born}" if raw.born else id,
         name=id,
         born=raw.born,
@@ -182,7 +182,7 @@
         zone=raw.zone,
         slots=raw.slots,
         leaving=raw.state == DRAINING,
-        cold=parse_time(raw.cold_remaining),
+        cold_seconds=parse_time(raw.cold_remaining),
         seq=raw.seq,
         holds=tuple(raw.holds),
         released=tuple(raw.released),
@@ -215,7 +215,7 @@
     for name, rows in (("Holds", raw.holds), ("Released", raw.released)):
         if len(rows) > MOST_ROWS:
             yield name, "Are too many rows."
-        if any(not 0 <= row[0] <= row[1] < KEYS for row in rows):
+        if any(not 0 <= row[0] <= row[1] < KEY_COUNT for row in rows):
             yield name, "A row is out of range."
     if any(not 0 <= row[2] <= MOST_NUMBER for row in raw.holds):
         yield "Holds", "A fence is out of range."
@@ -319,13 +319,15 @@
         name=name,
         host=raw.host.lower(),
         prefix=raw.path_prefix,
-        repeat=raw.kind,
+        retry_safety=raw.kind,
         timeout=timeout,
         target=parse_time(raw.target_latency) if raw.target_latency else timeout,
         priority=raw.priority,
         attempts=raw.max_attempts,
-        parts=tuple(Part(service=p.service, weight=p.weight) for p in split),
-        origin=origin,
+        weighted_services=tuple(
+            WeightedService(service=p.service, weight=p.weight) for p in split
+        ),
+        raw_json=origin,
     )
 
 
@@ -338,7 +340,7 @@
         warmup=parse_time(raw.warmup),
         health=raw.health_path,
         granting=GRANTING.get(raw.grants, Granting.UNKNOWN) if raw.grants else None,
-        origin=origin,
+        raw_json=origin,
     )
 
 
@@ -351,7 +353,7 @@
         body_bytes=raw.max_body_bytes,
         head_seconds=parse_time(raw.header_timeout),
         idle_seconds=parse_time(raw.idle_timeout),
-        origin=origin,
+        raw_json=origin,
     )
 
 
@@ -359,9 +361,9 @@
     """Return the body that tells a configuration, laid out as it was sent."""
     whole: dict[str, Any] = {
         "Version": format_version(config.version),
-        "Routes": {n: msgspec.Raw(r.origin) for n, r in config.routes.items()},
-        "Services": {n: msgspec.Raw(s.origin) for n, s in config.services.items()},
+        "Routes": {n: msgspec.Raw(r.raw_json) for n, r in config.routes.items()},
+        "Services": {n: msgspec.Raw(s.raw_json) for n, s in config.services.items()},
     }
-    if config.limits.origin:
-        whole["Limits"] = msgspec.Raw(config.limits.origin)
+    if config.limits.raw_json:
+        whole["Limits"] = msgspec.Raw(config.limits.raw_json)
     return msgspec.json.encode(whole)
--- a/guavastream/relay/job.py
+++ b/guavastream/relay/job.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from guavastream.fleet import KEYS
+from guavastream.fleet import KEY_COUNT
 from guavastream.kernel import Policy, TimeLimit, record
 from guavastream.relay.dialect import INTERNAL_PREFIX
 from guavastream.relay.outcome import NotRun
@@ -187,7 +187,11 @@
         service = self._choose_service(route)
         rules = index.config.services.get(service)
         keyed = rules is not None and rules.keyed
-        key = _parse_number(headers.get(names.key.lower()), KEYS - 1) if keyed else None
+        key = (
+            _parse_number(headers.get(names.key.lower()), KEY_COUNT - 1)
+            if keyed
+            else None
+        )
         timeout = route.timeout
         caller_deadline, first_sent_at = None, started
         left = _parse_number(headers.get(names.deadline_ms.lower()), MAX_DEADLINE_MS)
@@ -259,10 +263,10 @@
             )
 
     def _choose_service(self, route):
-        if len(route.parts) == 1:
-            return route.parts[0].service
-        weights = [part.weight for part in route.parts]
-        return self._rng.choices(route.parts, weights)[0].service
+        if len(route.weighted_services) == 1:
+            return route.weighted_services[0].service
+        weights = [part.weight for part in route.weighted_services]
+        return self._rng.choices(route.weighted_services, weights)[0].service
 
 
 def _parse_number(value, maximum):
--- a/guavastream/relay/quarantine.py
+++ b/guavastream/relay/quarantine.py
@@ -2,7 +2,7 @@
 
 from collections import OrderedDict
 
-from guavastream.fleet import ENOUGH_ENDS
+from guavastream.fleet import CRASHES_BEFORE_REFUSAL
 from guavastream.kernel import part_logger
 from guavastream.relay.fingerprint import (
     FINGERPRINT_BYTES,
@@ -26,7 +26,7 @@
 # Once this many server instances have ended during a request, it never runs at the
 # same time as another such request, and it is not sent to another server by this
 # system after one has ended during it.
-RUN_ALONE_ENDS = ENOUGH_ENDS - 1
+RUN_ALONE_ENDS = CRASHES_BEFORE_REFUSAL - 1
 
 log = part_logger("quarantine")
 
@@ -55,19 +55,19 @@
         self._cut_off = cut_off
 
     @property
-    def ends(self):
+    def crash_count(self):
         """Number of server instances that are known to have ended during it."""
-        known = self._suspect.ends if self._suspect else 0
+        known = self._suspect.crash_count if self._suspect else 0
         return max(known, len(self._seen))
 
     @property
     def must_run_alone(self):
         """Whether it may not run at the same time as another such request."""
-        return self.ends >= RUN_ALONE_ENDS
+        return self.crash_count >= RUN_ALONE_ENDS
 
     def is_refused_at(self, server):
         """Whether it must not be sent to a server."""
-        if self._cut_off and len(self._seen) >= ENOUGH_ENDS:
+        if self._cut_off and len(self._seen) >= CRASHES_BEFORE_REFUSAL:
             return True
         suspect = self._suspect
         if suspect is None or not suspect.refused:
--- a/guavastream/relay/server_client.py
+++ b/guavastream/relay/server_client.py
@@ -147,7 +147,7 @@
         left = max(1, int((attempt.deadline - self._clock()) * 1000))
         headers = list(attempt.headers)
         headers.append((names.deadline_ms, b"%d" % left))
-        headers.append((names.expected, instance.called.encode()))
+        headers.append((names.expected, instance.server_name.encode()))
         exchange.send(
             attempt.method, attempt.target, headers, attempt.body, attempt.stream
         )
--- a/guavastream/relay/tests/rig.py
+++ b/guavastream/relay/tests/rig.py
@@ -5,18 +5,18 @@
 import warnings
 
 from guavastream.emulator import DialectServer, run_paused
-from guavastream.fleet import Book, BookCodec, GrantKeys, JoinInstance
+from guavastream.fleet import FleetState, FleetStateCodec, GrantKeys, JoinInstance
 from guavastream.http1 import Client, Limits, Server
 from guavastream.kernel import replace
 from guavastream.relay import Dialect, Guard, HopHandler, Ingress, Picker, ServerLists
 from guavastream.replica import TableHolder
 from guavastream.routes import (
-    Part,
-    Repeat,
+    RetrySafety,
     Route,
     RouteConfig,
     RouteIndex,
     ServiceRules,
+    WeightedService,
 )
 
 __all__ = ["DIALECT", "Host", "Mesh", "run_scenario", "route"]
@@ -25,17 +25,17 @@
 SERVER_SECONDS = 0.1
 
 
-def route(name, repeat=Repeat.SAFE, **changes):
+def route(name, retry_safety=RetrySafety.SAFE, **changes):
     values = {
         "name": name,
         "host": "a.example",
         "prefix": f"/{name}/",
-        "repeat": repeat,
+        "retry_safety": retry_safety,
         "timeout": 1.0,
         "target": 0.5,
         "priority": 1,
         "attempts": 2,
-        "parts": (Part(service="s"),),
+        "weighted_services": (WeightedService(service="s"),),
     }
     return Route(**values | changes)
 
@@ -49,7 +49,7 @@
         self.id = f"i{number}"
         self.inbound = f"{self.ip}:2"
         self.outbound = f"{self.ip}:1"
-        self.books = TableHolder(codec=BookCodec())
+        self.books = TableHolder(codec=FleetStateCodec())
         self.counts = {}
         self.ended = []
         self.server = DialectServer(
@@ -106,8 +106,8 @@
     def __init__(self, *, hosts=2, keyed=False, routes=None):
         routes = routes or (
             route("read"),
-            route("pay", Repeat.UNSAFE),
-            route("load", Repeat.UPLOAD),
+            route("pay", RetrySafety.UNSAFE),
+            route("load", RetrySafety.UPLOAD),
         )
         config = RouteConfig(
             version=1,
@@ -115,7 +115,7 @@
             services={"s": ServiceRules(name="s", keyed=keyed)},
         )
         self.index = RouteIndex(config)
-        self.book = Book(config=config)
+        self.book = FleetState(config=config)
         self.hosts = [Host(self, number) for number in range(1, hosts + 1)]
         self.client = Client()
         self._numbers = iter(range(1, 10**6))
--- a/guavastream/routes/__init__.py
+++ b/guavastream/routes/__init__.py
@@ -1,4 +1,4 @@
-"""Routes: which requests go to which service, and under which limits."""
+"""Routes from requests to services, and the limits of callers."""
 
 from guavastream.routes.check import *
 from guavastream.routes.match import *
--- a/guavastream/routes/check.py
+++ b/guavastream/routes/check.py
@@ -1,4 +1,4 @@
-"""Findings about a configuration, each with its place."""
+"""Validation of a configuration."""
 
 from guavastream.exception import Finding
 
@@ -6,46 +6,58 @@
 
 
 def check_config(config):
-    """Return all findings about a `RouteConfig`, an empty list if it is sound.
+    """Return all errors in a `RouteConfig`, or an empty list if it is valid.
 
     Examples
     --------
-    >>> from guavastream.routes.model import Part, Repeat, Route, RouteConfig
+    >>> from guavastream.routes.model import (
+    ...     RetrySafety, Route, RouteConfig, WeightedService
+    ... )
     >>> route = Route(
-    ...     name="r", host="a", prefix="x/", repeat=Repeat.SAFE, timeout=0.0,
-    ...     target=0.1, priority=0, attempts=0, parts=(Part(service="s"),),
+    ...     name="r", host="a", prefix="x/", retry_safety=RetrySafety.SAFE,
+    ...     timeout=0.0, target=0.1, priority=0, attempts=0,
+    ...     weighted_services=(WeightedService(service="s"),),
     ... )
     >>> [f.code for f in check_config(RouteConfig(version=1, routes={"r": route}))]
     ['bad_prefix', 'bad_timeout', 'no_attempts', 'unknown_service']
     """
     findings = []
-    places = {}
+    route_names = {}
     for route in config.routes.values():
         findings += _check_route(route, config)
-        spot = (route.host, route.prefix)
-        if spot in places:
-            text = f"Has host and prefix of {places[spot]}."
+        host_and_prefix = (route.host, route.prefix)
+        if host_and_prefix in route_names:
+            text = f"Route {route_names[host_and_prefix]} has the same host and prefix."
             findings.append(_finding(route, "same_place", text))
-        places[spot] = route.name
+        route_names[host_and_prefix] = route.name
     return findings
 
 
 def _check_route(route, config):
     if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
-        yield _finding(route, "bad_prefix", "The prefix needs a slash at both ends.")
+        yield _finding(
+            route, "bad_prefix", "The prefix must begin and end with a slash."
+        )
     if not route.timeout > 0:
-        yield _finding(route, "bad_timeout", "The timeout must be more than 0.")
+        yield _finding(route, "bad_timeout", "The timeout must be greater than 0.")
     if route.attempts < 1:
-        yield _finding(route, "no_attempts", "At least one attempt is needed.")
+        yield _finding(
+            route, "no_attempts", "The number of attempts must be at least 1."
+        )
     if route.priority < 0:
         yield _finding(route, "bad_priority", "The priority must not be negative.")
-    if not route.parts or not sum(part.weight for part in route.parts) > 0:
-        yield _finding(route, "no_weight", "Some service must get requests.")
-    for part in route.parts:
-        if part.weight < 0:
+    if (
+        not route.weighted_services
+        or not sum(weighted.weight for weighted in route.weighted_services) > 0
+    ):
+        yield _finding(
+            route, "no_weight", "The sum of the weights must be greater than 0."
+        )
+    for weighted in route.weighted_services:
+        if weighted.weight < 0:
             yield _finding(route, "bad_weight", "A weight must not be negative.")
-        if part.service not in config.services:
-            text = f"Service {part.service!r} is not configured."
+        if weighted.service not in config.services:
+            text = f"Service {weighted.service!r} is not configured."
             yield _finding(route, "unknown_service", text)
 
 
--- a/guavastream/routes/match.py
+++ b/guavastream/routes/match.py
@@ -1,29 +1,32 @@
-"""Find the route of a request: by host, then by longest prefix."""
+"""Finds the route of a request by host and longest path prefix."""
 
 __all__ = ["RouteIndex"]
 
 
 class RouteIndex:
-    """An index over the routes of one configuration.
+    """Index of the routes of one configuration.
 
     Parameters
     ----------
     config : RouteConfig
-        The configuration.
+        Configuration to index.
 
     Notes
     -----
-    A look-up tries the prefixes of the path that end with a slash, longest
-    first: its cost is the depth of the path, however many routes there are.
+    A lookup tries each prefix of the path that ends with a slash, longest first.
+    Its cost depends on the depth of the path and not on the number of routes.
 
     Examples
     --------
-    >>> from guavastream.routes.model import Part, Repeat, Route, RouteConfig
+    >>> from guavastream.routes.model import (
+    ...     RetrySafety, Route, RouteConfig, WeightedService
+    ... )
     >>> def route(name, prefix):
     ...     return Route(
-    ...         name=name, host="a.example", prefix=prefix, repeat=Repeat.SAFE,
-    ...         timeout=1.0, target=0.1, priority=0, attempts=1,
-    ...         parts=(Part(service="s"),),
+    ...         name=name, host="a.example", prefix=prefix,
+    ...         retry_safety=RetrySafety.SAFE, timeout=1.0, target=0.1,
+    ...         priority=0, attempts=1,
+    ...         weighted_services=(WeightedService(service="s"),),
     ...     )
     >>> index = RouteIndex(
     ...     RouteConfig(routes={"r": route("r", "/x/"), "q": route("q", "/x/y/")})
@@ -36,22 +39,24 @@
 
     def __init__(self, config):
         self.config = config
-        self._hosts = {}
+        self._prefixes_by_host = {}
         for route in config.routes.values():
-            prefixes = self._hosts.setdefault(route.host.encode(), {})
+            prefixes = self._prefixes_by_host.setdefault(route.host.encode(), {})
             prefixes[route.prefix.encode()] = route
 
     def find(self, host, path):
-        """Return the route of a request, or None.
+        """Return the route of a request, or None if no route matches.
 
         Parameters
         ----------
-        host, path : bytes
-            Host header and path without query, as they were sent.
+        host : bytes
+            Value of the Host header, as sent.
+        path : bytes
+            Path without the query, as sent.
         """
-        prefixes = self._hosts.get(host.lower())
+        prefixes = self._prefixes_by_host.get(host.lower())
         if prefixes is None:
-            prefixes = self._hosts.get(host.lower().rpartition(b":")[0])
+            prefixes = self._prefixes_by_host.get(host.lower().rpartition(b":")[0])
         if prefixes is None:
             return None
         end = path.rfind(b"/")
--- a/guavastream/routes/model.py
+++ b/guavastream/routes/model.py
@@ -1,4 +1,4 @@
-"""Routes, services and limits as operators configure them."""
+"""Routes, services and limits that operators configure."""
 
 from enum import StrEnum
 
@@ -6,103 +6,109 @@
 
 from guavastream.kernel import record
 
-__all__ = ["CallerLimits", "Granting", "Part", "Repeat", "Route", "RouteConfig"]
-__all__ += ["ServiceRules"]
+__all__ = ["CallerLimits", "Granting", "RetrySafety", "Route", "RouteConfig"]
+__all__ += ["ServiceRules", "WeightedService"]
 
 
-class Repeat(StrEnum):
-    """Whether a request may run more than once."""
+class RetrySafety(StrEnum):
+    """Whether a request may be retried after it may have run."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
-    # A large body; never repeated either.
+    # With a large body; not safe to retry either.
     UPLOAD = "upload"
 
 
 class Granting(StrEnum):
     """How the backend servers of a service are granted keys."""
 
-    # By the answers to their heartbeats.
+    # In the answers to their heartbeats.
     HEARTBEAT = "heartbeat"
-    # By calls of the process beside them.
+    # By calls from the process beside them.
     CALL = "call"
-    # In a way that this version does not know: no keys are granted.
+    # By a method that this version does not support; no keys are granted.
     UNKNOWN = "unknown"
 
 
 @record
-class Part:
-    """A service that gets a share of a route's requests, by weight."""
+class WeightedService:
+    """A service that receives a weighted share of the requests of a route."""
 
     service: str
     weight: float = 1.0
 
 
-@record
+@record(
+    encoded_names={
+        "retry_safety": "repeat",
+        "weighted_services": "parts",
+        "raw_json": "origin",
+    }
+)
 class Route:
-    """Requests of one host under one path prefix.
+    """Rules for the requests of one host and path prefix.
 
     Parameters
     ----------
     name : str
         Unique name.
     host : str
-        Host header, in lower case and without a port.
+        Value of the Host header, in lower case and without a port.
     prefix : str
-        Path prefix that begins and ends with a slash.
-    repeat : Repeat
+        Path prefix, which must begin and end with a slash.
+    retry_safety : RetrySafety
         Whether its requests may run more than once.
     timeout : float
-        Longest time that a request is kept waiting, seconds.
+        Longest time until a request is answered, seconds.
     target : float
-        Time within which an answer has its full worth, seconds.
+        Target latency, seconds. A later answer is worth less to the caller.
     priority : int
-        Rank; 0 is the highest.
+        Priority; 0 is the highest.
     attempts : int
-        Most backend servers that one request may be sent to.
-    parts : tuple of Part
+        Maximum number of backend servers that a request is sent to.
+    weighted_services : tuple of WeightedService
         Services that share the requests.
-    origin : bytes
-        The item as its operator wrote it, given back when it is read.
+    raw_json : bytes
+        The route as the operator wrote it, for reading the configuration back.
     """
 
     name: str
     host: str
     prefix: str
-    repeat: Repeat
+    retry_safety: RetrySafety
     timeout: float
     target: float
     priority: int
     attempts: int
-    parts: tuple[Part, ...]
-    origin: bytes = b""
+    weighted_services: tuple[WeightedService, ...]
+    raw_json: bytes = b""
 
     @property
     def idempotent(self):
-        """Whether a request may run more than once."""
-        return self.repeat is Repeat.SAFE
+        """Whether a request may run more than once without harm."""
+        return self.retry_safety is RetrySafety.SAFE
 
 
-@record
+@record(encoded_names={"raw_json": "origin"})
 class ServiceRules:
-    """What holds for all backend servers of a service.
+    """Settings shared by all backend servers of a service.
 
     Parameters
     ----------
     name : str
         Unique name.
     connections : int
-        Connections that one backend server accepts.
+        Maximum number of connections to one backend server.
     keyed : bool
-        Whether its servers own keys.
+        Whether its servers own keys exclusively.
     warmup : float
-        Time for which keys that came without a handover are slow, seconds.
+        Time for which requests are slow for keys granted without a handover, seconds.
     health : str
         Path of the health check.
     granting : Granting or None
-        How they are granted keys; None is as the process's settings say.
-    origin : bytes
-        The item as its operator wrote it.
+        How its servers are granted keys; None uses the setting of the process.
+    raw_json : bytes
+        The service as the operator wrote it.
     """
 
     name: str
@@ -111,23 +117,23 @@
     warmup: float = 0.0
     health: str = "/health"
     granting: Granting | None = None
-    origin: bytes = b""
+    raw_json: bytes = b""
 
 
-@record
+@record(encoded_names={"raw_json": "origin"})
 class CallerLimits:
-    """Bounds on callers; sizes in bytes, times in seconds."""
+    """Limits on the requests and connections of callers."""
 
     head_bytes: int = 16384
     body_bytes: int = 64 << 20
     head_seconds: float = 3.0
     idle_seconds: float = 15.0
-    origin: bytes = b""
+    raw_json: bytes = b""
 
 
 @record
 class RouteConfig:
-    """One version of the whole configuration; version 0 is none at all."""
+    """One version of the configuration; version 0 is the empty one."""
 
     version: int = 0
     routes: dict[str, Route] = msgspec.field(default_factory=dict)
