--- a/guavastream/bench/capacity.py
+++ b/guavastream/bench/capacity.py
@@ -18,8 +18,8 @@
 from guavastream.control import Entry, Snapshot, Storage
 from guavastream.declare import parse_declaration
 from guavastream.kernel import HybridClock
-from guavastream.leases import Renew, Renewed
-from guavastream.leases.messages import Submit, Watch, Watched
+from guavastream.leases import Renew, RenewAnswer
+from guavastream.leases.messages import Submit, Watch, WatchAnswer
 from guavastream.messages import encode_message
 from guavastream.messages.zmq_transport import ZmqTransport
 from guavastream.state import (
@@ -126,7 +126,7 @@
     transport.close()
     request = Renew(host="host-0000", member=4711, index=10**6, revision=10**4)
     sent = sum(map(len, encode_message(request)))
-    answer = Renewed(duration=0.5, index=10**6)
+    answer = RenewAnswer(duration=0.5, index=10**6)
     return spent, own, done, sent + sum(map(len, encode_message(answer))) + 32
 
 
@@ -282,7 +282,7 @@
 
 
 def _last_index(answer, index):
-    if isinstance(answer, Watched) and answer.commands:
+    if isinstance(answer, WatchAnswer) and answer.commands:
         return answer.commands[-1][0]
     return decode_table(answer.table).index if answer.table else index
 
--- a/guavastream/client/caller.py
+++ b/guavastream/client/caller.py
@@ -12,7 +12,7 @@
 from guavastream.exception import GuavastreamError
 from guavastream.routing import (
     Attempts,
-    Classified,
+    ClassifiedRequest,
     Refused,
     RetryBudget,
     classify,
@@ -106,7 +106,7 @@
 
 def _failed(refused, request):
     operation = getattr(request, "operation", "")
-    ran = refused.told_ran(operation).value
+    ran = refused.reported_run_status(operation).value
     return RequestFailed(code=refused.refusal.code, ran=ran)
 
 
@@ -178,7 +178,7 @@
         self._sender.close()
         self._http.clear()
 
-    def _classify(self, method, path, fields, name) -> Classified:
+    def _classify(self, method, path, fields, name) -> ClassifiedRequest:
         routes = self._routes.get(name) or self._learn(name)
         declaration = Declaration(services=(routes.service,))
         request = _Request(method=method, path=path, fields=fields)
--- a/guavastream/control/fleet.py
+++ b/guavastream/control/fleet.py
@@ -24,7 +24,7 @@
     make_incremental,
 )
 from guavastream.kernel import part_logger
-from guavastream.leases import Submit, Submitted
+from guavastream.leases import Submit, SubmitAnswer
 from guavastream.messages import decode_message
 
 __all__ = ["FleetService", "VoterKeeper"]
@@ -53,7 +53,7 @@
         This voter.
     machine : TableStateMachine
         The replicated state.
-    granter : Granter
+    granter : GrantManager
         Answers heartbeats while this voter leads.
     voters : VoterKeeper
         Adds new voters while this voter leads.
@@ -156,7 +156,7 @@
         command = make_incremental(command, self._machine.table.config)
         result = await self._raft.propose(encode_command(command))
         encoded = msgspec.msgpack.encode(result)
-        return Submitted(index=self._machine.table.index, result=encoded)
+        return SubmitAnswer(index=self._machine.table.index, result=encoded)
 
 
 class VoterKeeper:
--- a/guavastream/control/grants.py
+++ b/guavastream/control/grants.py
@@ -701,7 +701,7 @@
         if name in self._state.runs:
             return False
         joined = self._joined_at.setdefault(name, self._clock())
-        return self._clock() - joined < self._timing.settle
+        return self._clock() - joined < self._timing.initial_wait
 
     def _notify(self, ids):
         """Wake the messages of servers that wait for an answer."""
--- a/guavastream/control/holds.py
+++ b/guavastream/control/holds.py
@@ -63,13 +63,13 @@
         `since` is the latest time at which a previous leader can have renewed a
         hold.
         """
-        expires_at = min(since, self._clock()) + self._timing.kept
+        expires_at = min(since, self._clock()) + self._timing.grantor_duration
         self._expires_at = dict.fromkeys(ids, expires_at)
         self._last_heartbeat = dict.fromkeys(ids, self._clock())
 
     def renew(self, id, *, arrived):
         """Record that the answer to a heartbeat renews the hold of a server."""
-        expires_at = arrived + self._timing.kept
+        expires_at = arrived + self._timing.grantor_duration
         self._expires_at[id] = max(expires_at, self._expires_at.get(id, 0.0))
 
     def record_heartbeat(self, id):
--- a/guavastream/control/role.py
+++ b/guavastream/control/role.py
@@ -34,7 +34,7 @@
         self._lock = _lock_folder(settings.data)
         storage = Storage(folder=settings.data)
         machine = TableStateMachine()
-        timing = LeaseTiming.of_length(settings.lease_ms)
+        timing = LeaseTiming.from_milliseconds(settings.lease_ms)
         keeper = LeaseKeeper(clock=node.clock, timing=timing)
         self._raft = Raft(
             storage=storage,
--- a/guavastream/control/service.py
+++ b/guavastream/control/service.py
@@ -5,7 +5,7 @@
 from guavastream.control.messages import VOTER_MESSAGES, Hello
 from guavastream.control.watching import WATCH_MESSAGES, WatchService
 from guavastream.exception import NotLeader, PeerFailure
-from guavastream.leases import LeaseTiming, Renew, Renewed, Submit, Submitted
+from guavastream.leases import LeaseTiming, Renew, RenewAnswer, Submit, SubmitAnswer
 from guavastream.messages import decode_message, message
 from guavastream.state import (
     ApplyDeclaration,
@@ -147,7 +147,7 @@
         # Checked again after the lease was renewed: a leader that was paused in
         # between may have been replaced and must not confirm the renewal.
         self._require_leadership()
-        return Renewed(duration=self._timing.duration, index=table.index, gone=gone)
+        return RenewAnswer(duration=self._timing.duration, index=table.index, gone=gone)
 
     async def _submit(self, request):
         command = decode_message(request.tag, request.body)
@@ -161,7 +161,7 @@
         if isinstance(command, RegisterMember):
             self._keeper.admit(result)
         encoded = msgspec.msgpack.encode(result)
-        return Submitted(index=self._machine.table.index, result=encoded)
+        return SubmitAnswer(index=self._machine.table.index, result=encoded)
 
     def _control_info(self):
         now = self._clock()
--- a/guavastream/control/tests/test_fleet.py
+++ b/guavastream/control/tests/test_fleet.py
@@ -26,7 +26,7 @@
 TIMING = RaftTiming(
     heartbeat=0.08, election_min=0.5, election_max=0.8, lease=0.45, call=0.4
 )
-HOLD_TIMING = HoldTiming(hold=2.8, settle=1.0)
+HOLD_TIMING = HoldTiming(hold=2.8, initial_wait=1.0)
 HEARTBEAT_SECONDS = 0.87
 ROUTE = Route(
     name="r",
--- a/guavastream/control/tests/test_grants.py
+++ b/guavastream/control/tests/test_grants.py
@@ -20,7 +20,7 @@
 )
 from guavastream.leases import HoldTiming
 
-HOLD_TIMING = HoldTiming(hold=2.8, settle=1.0)
+HOLD_TIMING = HoldTiming(hold=2.8, initial_wait=1.0)
 COMMIT_SECONDS = 0.05
 
 
@@ -98,7 +98,7 @@
                 grant_manager.remove_ended(ReportEnd(id="a", service="s", host="h"))
             )
         else:
-            await asyncio.sleep(HOLD_TIMING.kept + 0.1)
+            await asyncio.sleep(HOLD_TIMING.grantor_duration + 0.1)
             removing = asyncio.ensure_future(grant_manager._remove_expired())
         await asyncio.sleep(COMMIT_SECONDS / 2)
         answer = await grant_manager.answer_heartbeat(heartbeat(2))
--- a/guavastream/control/watching.py
+++ b/guavastream/control/watching.py
@@ -2,7 +2,7 @@
 
 import math
 
-from guavastream.leases.messages import Watch, Watched
+from guavastream.leases.messages import Watch, WatchAnswer
 from guavastream.messages import PartShelf, ReadPart
 
 __all__ = ["WATCH_MESSAGES", "WatchService"]
@@ -51,7 +51,9 @@
             return self._parts.read(request)
         known = await self._wait(request, hosts, staleness_delay)
         table, commands = self._machine.updates_since(request.index)
-        return self.split_answer(Watched(table=table, commands=commands, hosts=known))
+        return self.split_answer(
+            WatchAnswer(table=table, commands=commands, hosts=known)
+        )
 
     async def _wait(self, request, hosts, staleness_delay):
         """Wait for a change of the table, at most as long as requested.
--- a/guavastream/daemon/node.py
+++ b/guavastream/daemon/node.py
@@ -55,7 +55,7 @@
             control=self.control,
             tables=self.tables,
             clock=self.clock,
-            timing=LeaseTiming.of_length(settings.lease_ms),
+            timing=LeaseTiming.from_milliseconds(settings.lease_ms),
             record=self.record,
         )
         self.guard = None
--- a/guavastream/door/door.py
+++ b/guavastream/door/door.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from guavastream.kernel import part_logger
-from guavastream.routing import Ran, Refused, classify
+from guavastream.routing import Refused, RunStatus, classify
 from guavastream.web import AttemptFailed, BodyFailed
 from guavastream.web.body import Body
 from guavastream.web.send import HOP_BY_HOP
@@ -100,7 +100,7 @@
     def _refuse(self, exchange, request, refused):
         refusal = refused.refusal
         operation = request.operation if request else ""
-        ran = refused.told_ran(operation)
+        ran = refused.reported_run_status(operation)
         item = RefusalBody(
             code=refusal.code,
             ran=ran.value,
@@ -108,7 +108,7 @@
             request=request.id if request else "",
         )
         headers = [("Guavastream-Code", refusal.code)]
-        if ran is Ran.NOT_RUN:
+        if ran is RunStatus.NOT_RUN:
             headers.append(("Guavastream-Ran", "no"))
         if refusal.retry_after:
             headers.append(("Retry-After", str(refusal.retry_after)))
--- a/guavastream/door/forward.py
+++ b/guavastream/door/forward.py
@@ -6,9 +6,9 @@
 from guavastream.routing import (
     REFUSALS,
     Attempts,
-    Ran,
     Refused,
     RetryBudget,
+    RunStatus,
     Target,
     find_owner,
 )
@@ -65,7 +65,7 @@
         ----------
         exchange : Exchange
             The caller's request.
-        request : Classified
+        request : ClassifiedRequest
             What it is.
         body : Body
             Its body.
@@ -111,7 +111,7 @@
             return False
         code = attempts.code
         refusal = REFUSALS[code]
-        if refusal.ran is Ran.NOT_RUN and not refusal.elsewhere:
+        if refusal.ran is RunStatus.NOT_RUN and not refusal.retryable:
             return False
         # The first door tries again; a second one only says what it knows.
         # With both at it, retries would multiply and requests could circle.
@@ -119,7 +119,7 @@
             return False
         if self._waits(request, code):
             return not self._is_hopeless(request.service.name)
-        if request.owned_key and refusal.ran is Ran.NOT_RUN:
+        if request.owned_key and refusal.ran is RunStatus.NOT_RUN:
             # There is no other server to try.
             return False
         return budget.spend()
--- a/guavastream/door/tests/rig.py
+++ b/guavastream/door/tests/rig.py
@@ -16,7 +16,7 @@
 from guavastream.guard import Admission, Guard, Outcomes
 from guavastream.kernel import make_metrics
 from guavastream.leases import Lease
-from guavastream.membership import Announced
+from guavastream.membership import ServerAnnouncement
 from guavastream.routing import Chooser
 from guavastream.state import ShardMap, Table
 from guavastream.web import HttpSender, HttpServer
@@ -75,7 +75,9 @@
         address = self.proxy.address if proxied else self.server.address
         self.membership = FakeMembership(
             member=number,
-            announced=Announced(service=service, address=address, boot="b", slots=20),
+            announced=ServerAnnouncement(
+                service=service, address=address, boot="b", slots=20
+            ),
         )
         metrics, self.sender = make_metrics(""), HttpSender()
         self.events = []
--- a/guavastream/door/tests/test_attempts.py
+++ b/guavastream/door/tests/test_attempts.py
@@ -9,7 +9,13 @@
 from guavastream.door import Forwarder
 from guavastream.emulator import make_member
 from guavastream.kernel import make_metrics
-from guavastream.routing import Chooser, Classified, Knowledge, Ran, Refused
+from guavastream.routing import (
+    AttemptState,
+    Chooser,
+    ClassifiedRequest,
+    Refused,
+    RunStatus,
+)
 from guavastream.state import ShardMap, ShardTableHolder, Table
 from guavastream.web import AttemptFailed
 
@@ -18,9 +24,9 @@
 # What befalls one attempt: whether it runs, and what the door learns.
 FATES = {
     "answered": (True, None),
-    "answer lost": (True, AttemptFailed(Knowledge.SENT, "answer_lost")),
-    "never arrived": (False, AttemptFailed(Knowledge.SENT, "no_answer")),
-    "not sent": (False, AttemptFailed(Knowledge.NOT_SENT, "unreachable")),
+    "answer lost": (True, AttemptFailed(AttemptState.SENT, "answer_lost")),
+    "never arrived": (False, AttemptFailed(AttemptState.SENT, "no_answer")),
+    "not sent": (False, AttemptFailed(AttemptState.NOT_SENT, "unreachable")),
     "overloaded": (False, Refused("overloaded")),
     "server refused": (False, Refused("server_refused")),
     "leaving": (False, Refused("leaving")),
@@ -93,7 +99,7 @@
     has run at most once, and a lost answer is never told as one that came.
     """
     guards = FakeGuards(fates)
-    request = Classified(
+    request = ClassifiedRequest(
         id="r",
         service=SERVICE,
         key="",
@@ -105,12 +111,12 @@
     body = SimpleNamespace(replayable=replayable, headers=[], content=lambda: None)
     try:
         make_forwarder(guards).run(exchange, request, body, {})
-        ran = Ran.ANSWERED
+        ran = RunStatus.ANSWERED
     except Refused as refused:
-        ran = refused.told_ran(request.operation)
-    if ran is Ran.NOT_RUN:
+        ran = refused.reported_run_status(request.operation)
+    if ran is RunStatus.NOT_RUN:
         assert guards.runs == 0
-    if ran is Ran.ANSWERED:
+    if ran is RunStatus.ANSWERED:
         assert guards.runs >= 1
     if not idempotent:
         assert guards.runs <= 1
--- a/guavastream/guard/admission.py
+++ b/guavastream/guard/admission.py
@@ -84,7 +84,7 @@
 
         Parameters
         ----------
-        request : Classified
+        request : ClassifiedRequest
             The request.
         target : Target
             Shard and epoch under which it came here.
--- a/guavastream/guard/guard.py
+++ b/guavastream/guard/guard.py
@@ -1,7 +1,7 @@
 """The only way to the local backend server."""
 
 from guavastream.guard.outcomes import StoredAnswer
-from guavastream.routing import Knowledge, Refused
+from guavastream.routing import AttemptState, Refused
 from guavastream.web import AttemptFailed
 
 __all__ = ["Guard", "GuardedAnswer", "own_headers"]
@@ -19,7 +19,7 @@
 
     Parameters
     ----------
-    request : Classified
+    request : ClassifiedRequest
         The request.
     target : Target
         Where it goes.
@@ -100,7 +100,7 @@
 
 
 def _is_not_sent(error):
-    return getattr(error, "knowledge", None) is Knowledge.NOT_SENT
+    return getattr(error, "knowledge", None) is AttemptState.NOT_SENT
 
 
 class LongAnswer(GuardedAnswer):
@@ -175,7 +175,7 @@
 
         Parameters
         ----------
-        request : Classified
+        request : ClassifiedRequest
             The request.
         target : Target
             Shard and epoch under which it came here.
@@ -325,7 +325,7 @@
             # An answer that came late over a reused connection belongs to
             # somebody else; nothing more may be read from that connection.
             answer.finish(whole=False)
-            raise AttemptFailed(Knowledge.SENT, "wrong_answer")
+            raise AttemptFailed(AttemptState.SENT, "wrong_answer")
         if answer.header("Guavastream-Ran") == "no":
             answer.finish(whole=False)
             raise Refused("server_refused")
--- a/guavastream/guard/outcomes.py
+++ b/guavastream/guard/outcomes.py
@@ -8,7 +8,7 @@
 
 import xxhash
 
-from guavastream.routing import Refused, made_at
+from guavastream.routing import Refused, uuid7_seconds
 
 __all__ = ["Outcomes", "StoredAnswer", "digest_of"]
 
@@ -122,7 +122,7 @@
         Refused
             With `still_running`, `earlier_unknown` or `answer_not_kept`.
         """
-        made = made_at(operation)
+        made = uuid7_seconds(operation)
         place = (service, operation)
         with self._lock:
             self._expire()
@@ -145,7 +145,7 @@
             if (service, operation) in self._outcomes:
                 return False
             try:
-                self._doubt(service, shard, operation, made_at(operation))
+                self._doubt(service, shard, operation, uuid7_seconds(operation))
             except Refused:
                 return False
             return True
@@ -173,7 +173,7 @@
                 for (name, operation), outcome in self._outcomes.items()
                 if name == service
                 and outcome.shard in shards
-                and made_at(operation) >= since
+                and uuid7_seconds(operation) >= since
             )
 
     def _doubt(self, service, shard, operation, made):
@@ -199,9 +199,9 @@
         self._floor = max(self._floor, oldest)
         while len(self._outcomes) > KEPT_OUTCOMES:
             (_, operation), _ = self._outcomes.popitem(last=False)
-            self._floor = max(self._floor, made_at(operation))
+            self._floor = max(self._floor, uuid7_seconds(operation))
         while self._outcomes:
             place = next(iter(self._outcomes))
-            if made_at(place[1]) >= oldest:
+            if uuid7_seconds(place[1]) >= oldest:
                 return
             del self._outcomes[place]
--- a/guavastream/guard/server.py
+++ b/guavastream/guard/server.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from guavastream.kernel import parse_address, part_logger
-from guavastream.membership import Announced
+from guavastream.membership import ServerAnnouncement
 from guavastream.web import AttemptFailed
 
 __all__ = ["Announcement", "Grant", "ServerLink"]
@@ -112,7 +112,7 @@
         if service is None:
             exchange.respond(404, {"code": "unknown_service"})
             return
-        announced = Announced(
+        announced = ServerAnnouncement(
             service=said.service,
             address=said.address,
             boot=said.boot,
--- a/guavastream/guard/tests/test_admission.py
+++ b/guavastream/guard/tests/test_admission.py
@@ -9,7 +9,7 @@
 from guavastream.emulator import make_member
 from guavastream.guard import Admission
 from guavastream.leases import Lease
-from guavastream.routing import Classified, Refused, Target
+from guavastream.routing import ClassifiedRequest, Refused, Target
 from guavastream.state import Pin, ShardMap, ShardTableHolder, Table, shard_of
 
 ME = 4
@@ -54,7 +54,7 @@
         return self.now
 
     def acquire(self, *, key=KEY, seconds=5.0, epoch=7, priority="normal"):
-        request = Classified(
+        request = ClassifiedRequest(
             id="r",
             service=SERVICE,
             key=key,
--- a/guavastream/guard/tests/test_server.py
+++ b/guavastream/guard/tests/test_server.py
@@ -11,7 +11,7 @@
 from guavastream.emulator import Behaviour, StandinServer, StandinSettings
 from guavastream.guard import ServerLink
 from guavastream.leases import Lease
-from guavastream.membership import Announced
+from guavastream.membership import ServerAnnouncement
 from guavastream.state import ShardMap, ShardTableHolder, Table
 from guavastream.web import HttpSender, HttpServer
 
@@ -61,7 +61,9 @@
             )
         )
         self.membership = FakeMembership(
-            Announced(service="s", address=self.server.address, boot="b", slots=2)
+            ServerAnnouncement(
+                service="s", address=self.server.address, boot="b", slots=2
+            )
         )
         self.served_at = float("-inf")
         self.link = ServerLink(
--- a/guavastream/hosts/book_follower.py
+++ b/guavastream/hosts/book_follower.py
@@ -104,7 +104,7 @@
             if failures >= FAILURES_TO_RESEED:
                 log.info("Control hosts are in reach again.")
             failures = 0
-            self._control.learn(answer.hosts)
+            self._control.update_addresses(answer.hosts)
             if has_news:
                 await self._pause()
 
@@ -119,8 +119,8 @@
             wait = 0.0
         request = Watch(index=self._books.table.index, wait=wait)
         doublings = min(failures, MOST_DOUBLINGS)
-        patience = min(WATCH_PATIENCE * 2**doublings, LONGEST_PATIENCE)
-        return await self._watch.ask(request, patience=patience)
+        final_wait = min(WATCH_PATIENCE * 2**doublings, LONGEST_PATIENCE)
+        return await self._watch.ask(request, final_wait=final_wait)
 
     def _note_unreadable(self, error):
         """Say what was wrong with an answer, the same thing once."""
@@ -143,7 +143,9 @@
         if failures == FAILURES_TO_RESEED:
             log.info("Control hosts are out of reach: %s.", error)
         if failures % FAILURES_TO_RESEED == 0:
-            self._control.learn(dict.fromkeys((*self._control.addresses, *self.seeds)))
+            self._control.update_addresses(
+                dict.fromkeys((*self._control.addresses, *self.seeds))
+            )
 
     def _rest(self, failures):
         """Return the pause after rounds in which no control host knew anything.
@@ -159,9 +161,9 @@
     def _take(self, answer):
         """Take an answer; return whether it brought news."""
         before = self._books.table
-        self._books.take(answer.table, answer.commands)
+        self._books.apply_update(answer.table, answer.commands)
         has_news = self._books.table is not before
-        if not has_news and self._watch.early:
+        if not has_news and self._watch.answered_early:
             # One that has gone back knows less than this host, and would be
             # asked again without end.
             raise BadMessage("no news, though the wait was not over")
@@ -201,4 +203,4 @@
             return
         urgent = pause * URGENT_PAUSE_SHARE
         await asyncio.sleep(urgent)
-        await self._books.wait_wanted(pause - urgent)
+        await self._books.wait_until_requested(pause - urgent)
--- a/guavastream/hosts/control_host.py
+++ b/guavastream/hosts/control_host.py
@@ -136,7 +136,7 @@
 
     def take_seeds(self, seeds):
         """Take other control hosts to ask, while no leader is known."""
-        self._control.learn(tuple(self._raft.voters.values()) or seeds)
+        self._control.update_addresses(tuple(self._raft.voters.values()) or seeds)
 
     async def change(self, command):
         """Have a change of the configuration committed and return its fate.
@@ -164,7 +164,7 @@
         return answer.config
 
     def _know_leader(self):
-        self._control.learn(tuple(self._raft.voters.values()))
+        self._control.update_addresses(tuple(self._raft.voters.values()))
         if self._raft.leader_address:
             self._control.prefer(self._raft.leader_address)
 
--- a/guavastream/hosts/key_keeper.py
+++ b/guavastream/hosts/key_keeper.py
@@ -153,11 +153,11 @@
         """Return an event that is set when the held keys next change."""
         return self._lives[id].changed
 
-    def note_new(self, id):
+    def note_no_predecessor(self, id):
         """Note that no process before this one knew a life of the server."""
         self._new.add(id)
         if id in self._lives:
-            self._lives[id].leases.note_new()
+            self._lives[id].leases.note_no_predecessor()
 
     def follow(self, book):
         """Begin and end lives as the book says."""
@@ -189,7 +189,7 @@
         return granting is Granting.CALL
 
     def _begin(self, instance):
-        leases = KeyLeases(clock=self._clock, rng=self._rng, longest=self._longest)
+        leases = KeyLeases(clock=self._clock, rng=self._rng, max_hold=self._longest)
         life = _Life(
             instance=instance,
             leases=leases,
@@ -199,7 +199,7 @@
         )
         self._lives[instance.id] = life
         if instance.id in self._new:
-            leases.note_new()
+            leases.note_no_predecessor()
         life.tasks.spawn(self._renew(life))
         life.tasks.spawn(self._work(life))
 
@@ -214,12 +214,12 @@
     async def _renew(self, life):
         leases = life.leases
         while True:
-            if leases.is_dark:
+            if leases.is_unresponsive:
                 # Renewed on, a server that answers nothing would keep its
                 # keys for ever: its host is well, and asks in its name.
                 await asyncio.sleep(RETRY_SECONDS)
                 continue
-            asked = leases.told
+            asked = leases.last_instructions
             sent = self._clock()
             try:
                 answer = await self._ask(life, *asked)
@@ -230,9 +230,9 @@
                 continue
             self._answered_at = self._clock()
             if answer.rows is not None:
-                leases.take(answer, sent=sent)
+                leases.apply_answer(answer, sent=sent)
                 self._note_change(life)
-            if answer.rows is None or leases.told == asked:
+            if answer.rows is None or leases.last_instructions == asked:
                 # Nothing new, or the leader does not know this life yet.
                 waited = self._clock() - sent
                 await asyncio.sleep(max(0.0, RETRY_SECONDS - waited))
@@ -255,7 +255,7 @@
 
     async def _return(self, life):
         """Tell the leader which keys the server holds no more."""
-        rows = life.leases.returned()
+        rows = life.leases.pending_returns()
         if not rows:
             return
         request = ReturnKeys(
@@ -263,7 +263,7 @@
         )
         with contextlib.suppress(GuavastreamError):
             await self._control.call(request, timeout=RETURN_SECONDS)
-            life.leases.note_told(rows)
+            life.leases.note_acknowledged(rows)
 
     # What the server is told
 
@@ -274,10 +274,10 @@
             life.due.clear()
             for call in leases.due():
                 life.tasks.spawn(self._call(life, call))
-            if leases.returned() and (returning is None or returning.done()):
+            if leases.pending_returns() and (returning is None or returning.done()):
                 returning = asyncio.ensure_future(self._return(life))
                 returning.add_done_callback(lambda task: life.due.set())
-            pause = leases.next_at() - self._clock()
+            pause = leases.next_call_at() - self._clock()
             pause = min(IDLE_SECONDS, max(SHORTEST_SECONDS, pause))
             with contextlib.suppress(TimeoutError):
                 with TimeLimit.within(pause, loop=self._loop):
@@ -287,7 +287,7 @@
         leases = life.leases
         result, sent = None, True
         try:
-            with TimeLimit.within(call.seconds, loop=self._loop):
+            with TimeLimit.within(call.timeout, loop=self._loop):
                 result = await self._sender.send(life.instance, call)
         except NotSent as error:
             self._count("server_unreachable")
@@ -302,11 +302,11 @@
             leases.note_done(call, result.handover)
         elif result.outcome is KeyOutcome.FENCED:
             log.warning(
-                "Keys %d to %d are refused under fence %d.", *call.row, call.fence
+                "Keys %d to %d are refused under fence %d.", *call.key_range, call.fence
             )
-            leases.note_refused(call)
+            leases.note_fenced(call)
         else:
-            leases.note_denied(call)
+            leases.note_rejected(call)
         self._count("orders.granted" if call.hold else "orders.released")
         self._note_change(life)
 
--- a/guavastream/hosts/server_host.py
+++ b/guavastream/hosts/server_host.py
@@ -365,7 +365,7 @@
             return answer
         self._newest_beats[beat.name] = beat
         if answer.new:
-            self._keeper.note_new(beat.id)
+            self._keeper.note_no_predecessor(beat.id)
         if answer.rows is not None:
             until = arrived + answer.hold
             self._guard.narrow_held_keys(beat.id, answer.rows)
--- a/guavastream/hosts/settings.py
+++ b/guavastream/hosts/settings.py
@@ -72,7 +72,7 @@
     @property
     def holds(self):
         """Times of holds for these heartbeats."""
-        return HoldTiming.of_heartbeat(self.heartbeat, self.longest_hold)
+        return HoldTiming.from_heartbeat_interval(self.heartbeat, self.longest_hold)
 
     @property
     def wanted_voters(self):
--- a/guavastream/hosts/tests/orders.py
+++ b/guavastream/hosts/tests/orders.py
@@ -24,7 +24,7 @@
 # Clocks of servers may run this much slow.
 SLOW_CLOCK = 1.02
 HEARTBEAT = 0.87
-HOLDS = HoldTiming(hold=2.8, settle=0.5)
+HOLDS = HoldTiming(hold=2.8, initial_wait=0.5)
 CALLED = FIRST_CHANGE.__class__(
     base=0,
     version=1,
@@ -196,7 +196,7 @@
                 turn += 1
                 await asyncio.sleep(0.05)
                 continue
-            books.take(answer.table, answer.commands)
+            books.apply_update(answer.table, answer.commands)
             self.keeper.follow(books.table)
 
     def _note_refused(self, instance):
--- a/guavastream/hosts/tests/test_book_follower.py
+++ b/guavastream/hosts/tests/test_book_follower.py
@@ -25,7 +25,7 @@
 from guavastream.emulator import run_paused
 from guavastream.fleet import ChangeRoutes, FleetState, FleetStateCodec
 from guavastream.hosts.book_follower import BookFollower
-from guavastream.leases import Watch, Watched
+from guavastream.leases import Watch, WatchAnswer
 from guavastream.replica import TableHolder
 from guavastream.routes import RetrySafety, Route, WeightedService
 
@@ -173,12 +173,12 @@
 @pytest.mark.parametrize(
     "answer",
     [
-        Watched(table=b"\xc1 not a book"),
-        Watched(table=b"\x78\x01 not compressed either"),
-        Watched(table=encode_book(index="of a later format")),
-        Watched(commands=((10**6, b"\x92\xa4Noop\xc1"),)),
-        Watched(commands=((10**6, encode_later_command()),)),
-        Watched(table=FleetStateCodec().encode(FleetState(index=1))),
+        WatchAnswer(table=b"\xc1 not a book"),
+        WatchAnswer(table=b"\x78\x01 not compressed either"),
+        WatchAnswer(table=encode_book(index="of a later format")),
+        WatchAnswer(commands=((10**6, b"\x92\xa4Noop\xc1"),)),
+        WatchAnswer(commands=((10**6, encode_later_command()),)),
+        WatchAnswer(table=FleetStateCodec().encode(FleetState(index=1))),
     ],
     ids=["bytes", "compressed", "book", "command", "later-command", "older"],
 )
--- a/guavastream/hosts/tests/test_key_keeper.py
+++ b/guavastream/hosts/tests/test_key_keeper.py
@@ -76,7 +76,7 @@
         await fleet.core.until(fleet.is_served)
         await asyncio.sleep(0.05)
 
-    assert play_orders(tmp_path, scenario).longest_gap < HOLDS.kept + 2.0
+    assert play_orders(tmp_path, scenario).longest_gap < HOLDS.grantor_duration + 2.0
 
 
 def test_a_process_that_restarts_beside_a_living_server_keeps_its_keys(tmp_path):
@@ -145,7 +145,7 @@
         await place.kill_process()
         await until_rid(fleet, place)
 
-    assert play_orders(tmp_path, scenario).longest_gap < HOLDS.kept
+    assert play_orders(tmp_path, scenario).longest_gap < HOLDS.grantor_duration
 
 
 def test_a_late_grant_does_not_revive_keys_that_went_on(tmp_path):
--- a/guavastream/leases/__init__.py
+++ b/guavastream/leases/__init__.py
@@ -1,4 +1,4 @@
-"""Leases between nodes and control hosts."""
+"""Leases that control hosts grant to nodes, and key leases of backend servers."""
 
 from guavastream.leases.client import *
 from guavastream.leases.hedged_watch import *
--- a/guavastream/leases/client.py
+++ b/guavastream/leases/client.py
@@ -1,4 +1,4 @@
-"""Finds the leading control host and calls it."""
+"""A client that finds the leading control host and calls it."""
 
 import asyncio
 
@@ -10,8 +10,8 @@
 
 __all__ = ["ControlClient"]
 
-CALL_SECONDS = 0.25
-PAUSE_SECONDS = 0.03
+ATTEMPT_TIMEOUT_SECONDS = 0.25
+RETRY_PAUSE_SECONDS = 0.03
 
 
 class ControlClient:
@@ -20,52 +20,52 @@
     Parameters
     ----------
     transport : Transport
-        Reaches the control hosts.
+        Sends messages to the control hosts.
     addresses : tuple of str
-        Peer addresses from the settings.
+        Peer addresses of the control hosts from the settings.
     """
 
     def __init__(self, *, transport, addresses):
         self._transport = transport
         self._addresses = list(addresses)
         self._leader = self._addresses[0]
-        self._turn = 0
+        self._next_index = 0
 
     @property
     def addresses(self):
-        """Peer addresses of the control hosts as far as known, a tuple."""
+        """Known peer addresses of the control hosts, a tuple."""
         return tuple(self._addresses)
 
     def prefer(self, address):
-        """Ask this control host first."""
+        """Call this control host first."""
         self._leader = address
 
-    def learn(self, addresses):
-        """Take other control hosts to ask; those known stay if none are given."""
+    def update_addresses(self, addresses):
+        """Replace the known control hosts; an empty list has no effect."""
         if addresses and set(addresses) != set(self._addresses):
             self._addresses = list(addresses)
 
     @property
     def leader(self):
-        """Peer address of the leader as last known."""
+        """Peer address of the last known leader."""
         return self._leader
 
-    async def call(self, request, *, timeout, attempt=CALL_SECONDS):
-        """Call the leader within `timeout` seconds.
+    async def call(self, request, *, timeout, attempt=ATTEMPT_TIMEOUT_SECONDS):
+        """Call the leader, retrying for up to `timeout` seconds.
 
         Parameters
         ----------
         request : object
             A registered message; it may arrive more than once.
         attempt : float
-            Seconds that one control host is waited for.
+            Timeout of each attempt at one control host, in seconds.
 
         Raises
         ------
         NotReady
             If no leader answered in time.
         PeerFailure
-            As the leader answered.
+            If the control host answered with a failure other than `not_ready`.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout
@@ -73,20 +73,20 @@
             remaining = deadline - loop.time()
             if remaining <= 0:
                 raise NotReady("No leading control host answered.")
-            asked = self._leader
+            called = self._leader
             try:
-                return await self._ask(asked, request, min(attempt, remaining))
+                return await self._call_host(called, request, min(attempt, remaining))
             except NotLeader as error:
-                self._leave(asked, error.leader)
+                self._switch_leader(called, error.leader)
             except CallTimeout:
-                self._leave(asked)
+                self._switch_leader(called)
             except PeerFailure as error:
                 if error.code != "not_ready":
                     raise
-            await asyncio.sleep(PAUSE_SECONDS)
+            await asyncio.sleep(RETRY_PAUSE_SECONDS)
 
     async def submit(self, command, *, timeout, result=None):
-        """Have a command committed and return its decoded result.
+        """Submit a command, wait for its commit and return its decoded result.
 
         Raises
         ------
@@ -98,51 +98,51 @@
         answer = await self.call(request, timeout=timeout, attempt=timeout)
         return msgspec.msgpack.decode(answer.result, type=result or object)
 
-    async def call_any(self, preferred, request, *, timeout):
-        """Call one control host, leading or not; `preferred` picks it.
+    async def call_any(self, position, request, *, timeout):
+        """Call one control host, whether or not it leads.
 
-        `timeout` is for the beginning of the answer; a large one may take
-        longer, part by part.
+        `position` selects the host and wraps around. `timeout` applies to the first
+        part of the answer; a large answer may take longer, as it is read in parts.
         """
-        address = self._addresses[preferred % len(self._addresses)]
-        return await self._ask(address, request, timeout)
+        address = self._addresses[position % len(self._addresses)]
+        return await self._call_host(address, request, timeout)
 
     async def begin(self, address, request, *, timeout):
-        """Call one control host and return the beginning of its answer.
+        """Call one control host and return the first part of its answer.
 
-        `finish` returns the whole.
+        Pass it to `finish` to get the complete answer.
         """
         return await self._transport.call(address, request, timeout=timeout)
 
     async def finish(self, address, begun):
-        """Return the whole answer that has begun to come from a control host."""
+        """Return the complete answer whose first part `begin` returned."""
         if not isinstance(begun, Packed):
             return begun
 
-        async def read_on(request, timeout):
+        async def read_part(request, timeout):
             return await self._transport.call(address, request, timeout=timeout)
 
-        return await read_whole(begun, read_on)
+        return await read_whole(begun, read_part)
 
-    async def _ask(self, address, request, timeout):
+    async def _call_host(self, address, request, timeout):
         return await self.finish(
             address, await self.begin(address, request, timeout=timeout)
         )
 
-    def _leave(self, asked, hint=""):
-        """Ask another one than `asked` from now on.
+    def _switch_leader(self, called, hint=""):
+        """Call another control host from now on, unless `called` was replaced already.
 
-        Calls run side by side. One that waited long for a lost leader must
-        not take the others away from the new one that they have found.
+        Calls run concurrently. A call that timed out at a lost leader must not undo
+        the switch to a new leader that another call has found meanwhile.
         """
-        if self._leader == asked:
-            self._leader = hint if hint and hint != asked else self._next()
+        if self._leader == called:
+            self._leader = hint if hint and hint != called else self._next_address()
 
-    def _next(self):
-        """Return the next control host in turn.
+    def _next_address(self):
+        """Return the next control host in round-robin order.
 
-        Hints do not move the turn: two hosts that are cut off with a leader
-        of before would name it and each other for ever.
+        Leader hints do not advance it. Otherwise two hosts that are cut off from the
+        majority and keep naming a former leader would be called in turn forever.
         """
-        self._turn += 1
-        return self._addresses[self._turn % len(self._addresses)]
+        self._next_index += 1
+        return self._addresses[self._next_index % len(self._addresses)]
--- a/guavastream/leases/hedged_watch.py
+++ b/guavastream/leases/hedged_watch.py
@@ -1,4 +1,4 @@
-"""Asks control hosts for news of a table, another one before the first is late."""
+"""Watches a replicated table at several control hosts with hedged requests."""
 
 import asyncio
 import random
@@ -9,33 +9,33 @@
 
 __all__ = ["HedgedWatch"]
 
-# The next control host is asked when an answer is this late, or by twice as much
-# as answers are usually late here: on a link that stands full all of them are.
-LEAST_SLACK_SECONDS = 0.1
-MOST_SLACK_SECONDS = 0.4
+# The next control host is called when an answer is overdue by the usual lateness
+# times the factor, within these limits. On a saturated link all answers are late.
+MIN_SLACK_SECONDS = 0.1
+MAX_SLACK_SECONDS = 0.4
 SLACK_FACTOR = 2.0
-# Weight of the newest answer in how late answers usually are.
+# Weight of the newest answer in the moving average of the lateness.
 LATENESS_WEIGHT = 0.2
-# Pause between asking one control host and the next once the first is late. A
-# host that has no book yet asks more slowly: the beginnings of many first books
-# would fill a narrow link after a loss of all power.
-STEP_SECONDS = 0.1
-FIRST_STEP_SECONDS = 0.2
+# Pause before each further control host once the first is late. A host that has no
+# table yet pauses longer: after a power loss of all hosts, the first parts of many
+# whole tables would otherwise saturate a slow link.
+HEDGE_SECONDS = 0.1
+INITIAL_HEDGE_SECONDS = 0.2
 
 
 class HedgedWatch:
-    """Has a watch answered by whichever control host can.
+    """Sends each watch to further control hosts when the first one is late.
 
-    A change is to be in force within seconds wherever the host that is asked first
-    stands: cut off from its leader, frozen, or behind a full link. Waiting for one
-    after the other until each has used up its time adds these times up.
+    A change must take effect within seconds even if the control host that is called
+    first is cut off from its leader, paused, or behind a saturated link. Calling the
+    hosts one after another would add up their timeouts.
 
     Parameters
     ----------
     control : ControlClient
-        Reaches the control hosts.
+        Calls the control hosts.
     first : str
-        Peer address of the control host that is asked first.
+        Peer address of the control host to call first.
 
     References
     ----------
@@ -49,91 +49,97 @@
         self._first = first
         self._lateness = 0.0
         self._avoided = ""
-        self._early = False
+        self._answered_early = False
 
     @property
     def first(self):
-        """Peer address of the control host that is asked first."""
+        """Peer address of the control host that is called first."""
         return self._first
 
     @property
-    def early(self):
-        """Whether the last answer came before half of its wait was over."""
-        return self._early
+    def answered_early(self):
+        """Whether the last answer came before half of its wait had passed."""
+        return self._answered_early
 
     def avoid(self):
-        """Ask others before the one that answered last, whatever it answers."""
+        """Call the control host that answered last only after all others."""
         self._avoided = self._first
         others = [a for a in self._control.addresses if a != self._first]
         self._first = random.choice(others or self._control.addresses)
 
-    async def ask(self, request, *, patience):
-        """Return the whole of the first answer that has begun.
+    async def ask(self, request, *, final_wait):
+        """Return the complete first answer.
 
         Parameters
         ----------
         request : Watch
-            Asked as it is of the host that answered last; the others are asked
-            not to wait.
-        patience : float
-            Seconds for which the beginnings of answers are waited for at the end.
+            Sent unchanged to the control host that answered last; the others get it
+            with a wait of 0.
+        final_wait : float
+            Seconds to wait for the first part of an answer after all control hosts
+            were called.
 
         Raises
         ------
         GuavastreamError
-            If no control host answered with what it knows, or the rest of the
-            answer did not come.
+            If no control host answered successfully, or the rest of the answer could
+            not be read.
 
         Notes
         -----
-        Only beginnings are hedged: two copies of a long answer would fill the
-        narrow link that makes it late.
+        Only the first part of an answer is hedged: two copies of a long answer would
+        saturate the slow link that delays it.
         """
-        address, begun = await self._find(request, patience)
+        address, begun = await self._find_first_answer(request, final_wait)
         try:
             return await self._control.finish(address, begun)
         except GuavastreamError:
             self._first = random.choice(self._control.addresses)
             raise
 
-    async def _find(self, request, patience):
-        """Return the address that gave the first answer, and its beginning."""
-        order = self._order()
-        step = STEP_SECONDS if request.index else FIRST_STEP_SECONDS
-        slack = max(step, self._slack())
-        asked = _Asked(loop=self._loop)
+    async def _find_first_answer(self, request, final_wait):
+        """Return the address that answered first and the first part of its answer."""
+        order = self._call_order()
+        pause = HEDGE_SECONDS if request.index else INITIAL_HEDGE_SECONDS
+        slack = max(pause, self._slack_seconds())
+        calls = _ConcurrentCalls(loop=self._loop)
         for address in order:
-            timeout = request.wait + slack + len(order) * step + patience
+            timeout = request.wait + slack + len(order) * pause + final_wait
             call = self._control.begin(address, request, timeout=timeout)
-            asked.add(call, address=address, wait=request.wait)
+            calls.add(call, address=address, wait=request.wait)
             until = self._loop.time() + request.wait + slack
-            found = await asked.answered(until, hasty=bool(request.index))
+            found = await calls.first_answer(
+                until, stop_if_all_failed=bool(request.index)
+            )
             if found:
-                return self._note(found)
-            request, slack = replace(request, wait=0.0), step
-        found = await asked.answered(self._loop.time() + patience, hasty=True)
+                return self._record_answer(found)
+            request, slack = replace(request, wait=0.0), pause
+        found = await calls.first_answer(
+            self._loop.time() + final_wait, stop_if_all_failed=True
+        )
         if found:
-            return self._note(found)
+            return self._record_answer(found)
         self._first = random.choice(order)
-        raise asked.failure()
+        raise calls.failure()
 
-    def _order(self):
+    def _call_order(self):
         addresses = self._control.addresses
         first = self._first if self._first in addresses else addresses[0]
         others = [address for address in addresses if address != first]
-        # Hosts that lose one control host together meet at all of the others.
+        # The order is random so that clients which lose the same control host spread
+        # over all others.
         others = random.sample(others, len(others))
         return sorted([first, *others], key=self._avoided.__eq__)
 
-    def _slack(self):
+    def _slack_seconds(self):
         usual = SLACK_FACTOR * self._lateness
-        return min(max(LEAST_SLACK_SECONDS, usual), MOST_SLACK_SECONDS)
+        return min(max(MIN_SLACK_SECONDS, usual), MAX_SLACK_SECONDS)
 
-    def _note(self, found):
-        """Note who answered, and when; return the address and the answer."""
+    def _record_answer(self, found):
+        """Record which host answered and how late; return its address and answer."""
         self._first = found.address
-        late = self._loop.time() - found.at - found.wait
-        self._early = -late > found.wait / 2
+        late = self._loop.time() - found.started_at - found.wait
+        self._answered_early = -late > found.wait / 2
         if late >= 0.0:
             self._lateness += LATENESS_WEIGHT * (late - self._lateness)
         return found.address, found.task.result()
@@ -141,50 +147,51 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Call:
-    """A call to a control host; `at` is the loop's time at which it began."""
+    """A call to a control host; it began at the loop's time `started_at`."""
 
     task: asyncio.Task
     address: str
-    at: float
+    started_at: float
     wait: float
 
 
-class _Asked:
-    """Calls to several control hosts for the same news."""
+class _ConcurrentCalls:
+    """Concurrent calls to several control hosts for the same answer."""
 
     def __init__(self, *, loop):
         self._loop = loop
-        self._heard = Signal(loop=loop)
+        self._call_ended = Signal(loop=loop)
         self._calls = []
 
     def add(self, call, *, address, wait):
-        """Begin a call; what it brings after the others are left counts no more."""
+        """Start a call; its result is ignored if another call is chosen first."""
         task = self._loop.create_task(call)
         now = self._loop.time()
-        self._calls.append(_Call(task=task, address=address, at=now, wait=wait))
-        task.add_done_callback(self._note)
+        self._calls.append(_Call(task=task, address=address, started_at=now, wait=wait))
+        task.add_done_callback(self._on_done)
 
-    def _note(self, task):
-        # Asked for, so that an error which nobody waits for is not reported.
+    def _on_done(self, task):
+        # Reading the exception keeps asyncio from logging it as never retrieved.
         task.cancelled() or task.exception()
-        self._heard.set()
+        self._call_ended.set()
 
-    async def answered(self, until, *, hasty):
-        """Return a call whose answer has begun, or None at the time `until`.
+    async def first_answer(self, until, *, stop_if_all_failed):
+        """Return a call that succeeded, or None at the loop's time `until`.
 
-        For the `hasty` also None once all have said that they cannot answer.
+        With `stop_if_all_failed`, return None as soon as all calls have failed.
         """
         while True:
             call = self._find_answered()
             if call is not None:
                 return call
-            if hasty and all(call.task.done() for call in self._calls):
+            if stop_if_all_failed and all(call.task.done() for call in self._calls):
                 return None
             if self._loop.time() >= until:
                 return None
-            self._heard.clear()
-            if not await self._heard.wait_until(until):
-                # A call that ends in this turn of the loop tells so in the next.
+            self._call_ended.clear()
+            if not await self._call_ended.wait_until(until):
+                # The callback of a call that ends in this loop iteration runs only in
+                # the next one, so look for it once more.
                 return self._find_answered()
 
     def _find_answered(self):
@@ -194,7 +201,10 @@
         return None
 
     def failure(self):
-        """Return an error of the calls, rather one that says something."""
+        """Return an error of the calls, preferably not a timeout.
+
+        An unexpected error, which is not a `GuavastreamError`, is raised instead.
+        """
         errors = [call.task.exception() for call in self._calls if call.task.done()]
         errors.sort(key=lambda error: isinstance(error, CallTimeout))
         for error in errors:
--- a/guavastream/leases/holding.py
+++ b/guavastream/leases/holding.py
@@ -1,41 +1,47 @@
-"""How long backend servers may hold keys."""
+"""Durations for which backend servers may hold keys."""
 
 from dataclasses import dataclass
 
-from guavastream.leases.keys import DRIFT, MARGIN_SECONDS
+from guavastream.leases.keys import MAX_CLOCK_DRIFT, TIMER_MARGIN_SECONDS
 
 __all__ = ["HoldTiming"]
 
 
 @dataclass(frozen=True, kw_only=True)
 class HoldTiming:
-    """Times of holds, seconds.
+    """Durations related to holding keys, in seconds.
 
     Parameters
     ----------
     hold : float
-        How long keys are held without another heartbeat.
+        How long a server may hold its keys after a heartbeat.
     silent : float
-        Silence after which a server without keys is forgotten.
-    settle : float
-        Wait for further servers before keys are handed out the first time.
+        Time without a heartbeat after which a server without keys is removed.
+    initial_wait : float
+        How long to wait for further servers before keys are first assigned.
     """
 
     hold: float = 3.0
     silent: float = 12.0
-    settle: float = 1.5
+    initial_wait: float = 1.5
 
     @classmethod
-    def of_heartbeat(cls, interval, longest):
-        """Return the times for servers that send a heartbeat each `interval`.
+    def from_heartbeat_interval(cls, interval, max_hold):
+        """Return the durations for servers that send a heartbeat each `interval`.
 
-        A hold bears two lost heartbeats and a failover; a lost server's keys
-        wait for its end, so it is not longer.
+        The hold survives two lost heartbeats and a failover of the leader. It is no
+        longer than that, because the keys of a lost server cannot be reassigned
+        before its hold has expired.
         """
-        hold = min(max(2.8, 2.4 * interval), longest * 0.9)
-        return cls(hold=hold, silent=max(12.0, 8 * interval), settle=1.3 * interval)
+        hold = min(max(2.8, 2.4 * interval), max_hold * 0.9)
+        return cls(
+            hold=hold, silent=max(12.0, 8 * interval), initial_wait=1.3 * interval
+        )
 
     @property
-    def kept(self):
-        """How long after a heartbeat came its sender may still hold keys."""
-        return self.hold * (1 + DRIFT) + MARGIN_SECONDS
+    def grantor_duration(self):
+        """How long after a heartbeat's arrival its sender may still hold keys.
+
+        It is `hold` plus the drift of a slow clock and a margin for timers.
+        """
+        return self.hold * (1 + MAX_CLOCK_DRIFT) + TIMER_MARGIN_SECONDS
--- a/guavastream/leases/keys.py
+++ b/guavastream/leases/keys.py
@@ -1,9 +1,9 @@
-"""Which keys the local backend server holds, and which call it is owed next.
+"""Tracks which keys the local backend server holds and which call to send it next.
 
-For backend servers that take orders: the leader decides who holds which keys,
-the process beside a server carries that out by granting and releasing rows of
-keys at the server itself. This module decides which call is due; it sends
-nothing.
+Used for backend servers that are granted keys by calls. The leader decides which
+server holds which keys; the process beside each server carries the decision out by
+granting and releasing key ranges at that server. This module only decides which
+calls are due; it sends nothing.
 """
 
 from dataclasses import dataclass, field
@@ -11,49 +11,48 @@
 from guavastream.fleet import KEY_COUNT, rows_overlap, subtract_range
 from guavastream.kernel import record
 
-__all__ = ["DRIFT", "MARGIN_SECONDS", "KeyCall", "KeyLeases"]
-
-# A server's clock may run this much slow.
-DRIFT = 0.02
-# Granularity of clocks and timers at both ends, seconds.
-MARGIN_SECONDS = 0.05
-# A grant that is not answered by then is given up, and its connection is
-# reset: it cannot arrive at the server any more. Servers answer within a few
-# milliseconds; a slowed host takes some tens.
-GRANT_SECONDS = 0.3
-# A release is answered when the work on its keys has ended. Another one is
-# sent beside it after this time, in case the first was lost.
-RELEASE_SECONDS = 0.5
-# Longest hold that is asked for. It is short because a grant whose answer was
-# lost may be applied seconds later and is in doubt until its hold is over: no
-# key that it names can go to another server before.
-LONGEST_HOLD = 2.0
-# A hold shorter than this is not worth a call.
-LEAST_HOLD = 0.2
-# Part of a hold after which it is renewed, drawn anew for each row so that
-# the rows of a server spread over time.
-RENEW_SHARES = (0.55, 0.7)
-# Pause after a lost call, doubled with each further one up to the longest.
-FIRST_PAUSE = 0.03
-LONGEST_PAUSE = 0.3
-# Pause after an answer that said that nothing was done.
-DENIED_PAUSE = 0.1
-# Grants that wait for their answers at a time.
-MOST_GRANTS = 4
-# A row that was given up is remembered for this long after the leader has
-# taken it back, seconds; answers of the leader are older by a second at most.
-REMEMBERED_SECONDS = 5.0
-# A server that answered nothing for this long, while that many calls in a row
-# were lost, is dark: its keys are left to run out.
-DARK_SECONDS = 1.2
-DARK_CALLS = 4
+__all__ = ["MAX_CLOCK_DRIFT", "TIMER_MARGIN_SECONDS", "KeyCall", "KeyLeases"]
+
+# Share by which a server's clock may run slow.
+MAX_CLOCK_DRIFT = 0.02
+# Allowance for the granularity of clocks and timers at both ends.
+TIMER_MARGIN_SECONDS = 0.05
+# When a grant times out, its connection is reset so that it cannot reach the server
+# afterwards. Servers answer within a few milliseconds, a slow host within some tens.
+GRANT_TIMEOUT_SECONDS = 0.3
+# A server answers a release once the work on the keys has ended. After this time
+# another release is sent as well, in case the first was lost.
+RELEASE_TIMEOUT_SECONDS = 0.5
+# Longest hold requested. It is short because a grant whose answer was lost may still
+# be applied seconds later: until its hold has expired, its keys cannot go to another
+# server.
+MAX_HOLD_SECONDS = 2.0
+# No grant is sent for a hold shorter than this.
+MIN_HOLD_SECONDS = 0.2
+# Share of a hold after which it is renewed, drawn at random for each key range so
+# that the renewals for one server are spread over time.
+RENEWAL_POINT_RANGE = (0.55, 0.7)
+# Backoff after a lost call: starts at the minimum and doubles with each further loss.
+MIN_RETRY_SECONDS = 0.03
+MAX_RETRY_SECONDS = 0.3
+# Pause after the server answered that it did not carry out a call.
+REJECTED_RETRY_SECONDS = 0.1
+MAX_GRANTS_IN_FLIGHT = 4
+# A retired key range is remembered for this long after the leader acknowledged it.
+# An answer of the leader that still lists the range is at most a second old.
+RETIRED_RANGE_SECONDS = 5.0
+# A server is unresponsive if it has answered nothing for this long and this many
+# calls in a row were lost. Its keys are then left to expire.
+UNRESPONSIVE_SECONDS = 1.2
+UNRESPONSIVE_CALLS = 4
 
 
 @record
 class KeyCall:
-    """An order to the server about keys `first` to `last`.
+    """A call that grants or releases the keys `first` to `last` at the server.
 
-    `hold` is in seconds from its arrival; 0 releases the keys.
+    `hold` is the duration of a grant in seconds, counted from its arrival; 0 makes
+    the call a release. `began` is the clock's time at which the call began.
     """
 
     first: int
@@ -64,49 +63,50 @@
     began: float = 0.0
 
     @property
-    def row(self):
+    def key_range(self):
         """First and last key."""
         return self.first, self.last
 
     @property
-    def seconds(self):
-        """How long its answer is waited for."""
-        return GRANT_SECONDS if self.hold else RELEASE_SECONDS
+    def timeout(self):
+        """Seconds to wait for the answer."""
+        return GRANT_TIMEOUT_SECONDS if self.hold else RELEASE_TIMEOUT_SECONDS
 
 
 @dataclass(kw_only=True, slots=True)
-class _Row:
-    """Keys that the server is to hold.
+class _HeldRange:
+    """A key range that the leader has assigned to the server.
 
-    `until` is how long it surely holds them, `ends_at` how long it may.
+    The server certainly holds it until `held_until`, and cannot hold it after
+    `may_hold_until`.
     """
 
     first: int
     last: int
     fence: int
     handover: str
-    until: float = float("-inf")
-    ends_at: float = float("-inf")
-    next_at: float = float("-inf")
-    lost: int = 0
+    held_until: float = float("-inf")
+    may_hold_until: float = float("-inf")
+    next_call_at: float = float("-inf")
+    lost_calls: int = 0
 
     @property
-    def row(self):
+    def key_range(self):
         return self.first, self.last
 
 
 @dataclass(kw_only=True, slots=True)
-class _GivenUp:
-    """Keys that are never granted under this fence again."""
+class _RetiredRange:
+    """A key range that must never again be granted under this fencing token."""
 
-    row: tuple
+    key_range: tuple
     fence: int
     forget_at: float = float("inf")
 
 
 @record
-class _Returned:
-    """What the leader is told of keys given up, from `ready` on."""
+class _PendingReturn:
+    """A key range to return to the leader, not before the time `ready`."""
 
     first: int
     last: int
@@ -121,350 +121,402 @@
 
 @dataclass(kw_only=True, slots=True)
 class _Release:
-    """Keys that the server is to give up; by `ends_at` it has anyway."""
+    """A key range that the server must release; its hold expires at `expires_at`."""
 
     first: int
     last: int
     fence: int
-    ends_at: float
-    next_at: float = float("-inf")
+    expires_at: float
+    next_call_at: float = float("-inf")
     calls: list = field(default_factory=list)
 
     @property
-    def row(self):
+    def key_range(self):
         return self.first, self.last
 
 
 class KeyLeases:
-    """The rows of one life of the local server.
+    """The key ranges of one incarnation of the local server.
 
-    Each row is owed (its next grant or renewal is due at `next_at`), being
-    released, or released and not yet told to the leader. Beside the rows
-    stands what is in doubt: keys of grants that got no answer, until the hold
-    that they asked for is over.
+    Each range is in one of three states: assigned, with its next grant or renewal due
+    at `next_call_at`; being released; or released and not yet acknowledged by the
+    leader. In addition, grants that were not answered are tracked until the hold that
+    they requested has expired, because the server may have applied them.
 
     Parameters
     ----------
     clock : callable
-        Steady time in seconds, suspensions included: a process that was
-        suspended must find that its permission has run out.
+        Monotonic time in seconds that includes suspensions: a process that was
+        suspended must find that its permission has expired.
     rng : random.Random
         Spreads renewals over time.
-    longest : float
-        Longest hold that servers accept, seconds.
+    max_hold : float
+        Longest hold that servers accept, in seconds.
 
     Notes
     -----
-    The permission ends `hold` seconds after the renewal of it was *sent*, and
-    the leader counts from when that arrived, plus the drift of a slow clock.
-    A grant asks for no more than what is left of the permission, less the
-    time after which an unanswered call is given up. So whatever the server
-    was granted is over before the leader gives the keys to another one, with
-    or without an answer; and a lost answer needs no word to the leader.
-
-    What a late call can do is bounded on this side: it is known which grants
-    got no answer, and a release that was answered counts only when no such
-    grant can revive the keys. A process that has just started does not know
-    what its predecessor sent, and takes all keys to be in doubt for as long
-    as a grant can last.
+    The leader permits this process to grant keys for `hold` seconds. The process
+    counts them from when it *sent* the renewal, the leader from when the renewal
+    arrived, and the leader adds the drift of a slow clock. A grant requests at most
+    what is left of the permission minus the timeout of the call. Whatever the server
+    was granted has therefore expired before the leader reassigns the keys, whether or
+    not the grant was answered, and lost answers need not be reported to the leader.
+
+    The effect of a call that arrives late is bounded here: unanswered grants are
+    tracked, and an answered release counts only once no such grant can make the
+    server hold the keys again. A process that has just started does not know what its
+    predecessor sent, so it treats all keys as possibly held for the longest time that
+    a grant can last.
     """
 
-    def __init__(self, *, clock, rng, longest=LONGEST_HOLD):
+    def __init__(self, *, clock, rng, max_hold=MAX_HOLD_SECONDS):
         self._clock = clock
         self._rng = rng
-        self._longest = min(longest, LONGEST_HOLD)
-        self._permitted = float("-inf")
-        self._told = ((), ())
-        self._rows = []
+        self._max_hold = min(max_hold, MAX_HOLD_SECONDS)
+        self._permitted_until = float("-inf")
+        self._last_instructions = ((), ())
+        self._ranges = []
         self._releases = []
-        self._returned = []
-        self._given_up = []
+        self._pending_returns = []
+        self._retired = []
         self._in_flight = set()
-        self._heard_at = clock()
-        self._lost = 0
-        # What a predecessor of this process may have sent.
-        self._unknown = ((0, KEY_COUNT - 1), self._bound(self._heard_at, self._longest))
-        self._doubts = [self._unknown]
+        self._last_answer_at = clock()
+        self._calls_lost_in_row = 0
+        # Stands for any grant that a predecessor of this process may have sent.
+        self._predecessor_grants = (
+            (0, KEY_COUNT - 1),
+            self._latest_end(self._last_answer_at, self._max_hold),
+        )
+        self._uncertain_grants = [self._predecessor_grants]
 
     @property
-    def told(self):
-        """Rows to hold and rows to release, as the leader last said."""
-        return self._told
+    def last_instructions(self):
+        """Key ranges to hold and to release, as the leader last sent them."""
+        return self._last_instructions
 
     @property
-    def is_dark(self):
-        """Whether the server has stopped to answer."""
-        silent = self._clock() - self._heard_at
-        return self._lost >= DARK_CALLS and silent >= DARK_SECONDS
+    def is_unresponsive(self):
+        """Whether the server has stopped answering calls."""
+        silent = self._clock() - self._last_answer_at
+        return (
+            self._calls_lost_in_row >= UNRESPONSIVE_CALLS
+            and silent >= UNRESPONSIVE_SECONDS
+        )
 
     def covers(self, key):
-        """Whether the server holds a key for sure."""
+        """Whether the server certainly holds a key."""
         now = self._clock()
         return any(
-            row.first <= key <= row.last and now < row.until for row in self._rows
+            held.first <= key <= held.last and now < held.held_until
+            for held in self._ranges
         )
 
-    def held_rows(self):
-        """Return the rows (first, last) that the server holds for sure."""
+    def held_ranges(self):
+        """Return the ranges (first, last) that the server certainly holds."""
         now = self._clock()
-        return [row.row for row in self._rows if now < row.until]
+        return [held.key_range for held in self._ranges if now < held.held_until]
 
-    def note_new(self):
-        """Note that this life of the server began in the time of this process.
+    def note_no_predecessor(self):
+        """Note that this incarnation of the server began during this process.
 
-        No predecessor has sent it anything, and nothing is in doubt.
+        No earlier process can have sent grants to it.
         """
-        self._doubts = [doubt for doubt in self._doubts if doubt is not self._unknown]
+        self._uncertain_grants = [
+            grant
+            for grant in self._uncertain_grants
+            if grant is not self._predecessor_grants
+        ]
 
-    # What the leader says
+    # Instructions of the leader
 
-    def take(self, answer, *, sent):
-        """Take the leader's answer to a renewal that was sent at `sent`."""
-        self._permitted = max(self._permitted, sent + answer.hold)
-        self._told = (
+    def apply_answer(self, answer, *, sent):
+        """Apply the leader's answer to a renewal that was sent at time `sent`."""
+        self._permitted_until = max(self._permitted_until, sent + answer.hold)
+        self._last_instructions = (
             tuple(row[:3] for row in answer.rows),
             tuple(answer.drops),
         )
         now = self._clock()
-        self._given_up = [old for old in self._given_up if old.forget_at > now]
-        before = self._rows
-        self._rows = []
+        self._retired = [old for old in self._retired if old.forget_at > now]
+        before = self._ranges
+        self._ranges = []
         for first, last, fence, handover in answer.rows:
-            for piece in self._still_owed(first, last, fence):
-                self._rows.append(self._inherit(piece, fence, handover, before))
-        dropped = [(old.row, old.fence) for old in before]
+            for piece in self._grantable_parts(first, last, fence):
+                self._ranges.append(self._carry_over(piece, fence, handover, before))
+        dropped = [(old.key_range, old.fence) for old in before]
         dropped += [((first, last), fence) for first, last, fence in answer.drops]
-        for row, fence in dropped:
-            pieces = [row]
-            for kept in self._rows:
+        for key_range, fence in dropped:
+            pieces = [key_range]
+            for kept in self._ranges:
                 if kept.fence == fence:
-                    pieces = subtract_range(pieces, kept.row)
+                    pieces = subtract_range(pieces, kept.key_range)
             for piece in pieces:
-                self._drop(piece, fence, before)
+                self._begin_release(piece, fence, before)
 
-    def _still_owed(self, first, last, fence):
-        """Return what of a row was never given up under its fence."""
+    def _grantable_parts(self, first, last, fence):
+        """Return the parts of a range that were not retired under its fencing token."""
         pieces = [(first, last)]
-        for old in self._given_up:
+        for old in self._retired:
             if old.fence == fence:
-                pieces = subtract_range(pieces, old.row)
+                pieces = subtract_range(pieces, old.key_range)
         return pieces
 
-    def _inherit(self, piece, fence, handover, before):
-        row = _Row(first=piece[0], last=piece[1], fence=fence, handover=handover)
+    def _carry_over(self, piece, fence, handover, before):
+        """Return an assigned range with the state it had in the ranges `before`."""
+        new = _HeldRange(first=piece[0], last=piece[1], fence=fence, handover=handover)
         for old in before:
-            if old.fence != fence or not rows_overlap(old.row, piece):
+            if old.fence != fence or not rows_overlap(old.key_range, piece):
                 continue
-            row.ends_at = max(row.ends_at, old.ends_at)
-            row.handover = handover or old.handover
+            new.may_hold_until = max(new.may_hold_until, old.may_hold_until)
+            new.handover = handover or old.handover
             if old.first <= piece[0] and piece[1] <= old.last:
-                row.until, row.next_at, row.lost = old.until, old.next_at, old.lost
-        return row
-
-    def _drop(self, piece, fence, before):
-        for first, last in self._still_owed(*piece, fence):
-            row = (first, last)
-            # Nothing may be granted under this fence again: a late release
-            # would take away what the server was given anew.
-            self._given_up.append(_GivenUp(row=row, fence=fence))
+                new.held_until, new.next_call_at, new.lost_calls = (
+                    old.held_until,
+                    old.next_call_at,
+                    old.lost_calls,
+                )
+        return new
+
+    def _begin_release(self, piece, fence, before):
+        for first, last in self._grantable_parts(*piece, fence):
+            key_range = (first, last)
+            # Nothing may be granted under this fencing token again: a release that
+            # arrives late would take away the new grant.
+            self._retired.append(_RetiredRange(key_range=key_range, fence=fence))
             ends = [
-                old.ends_at
+                old.may_hold_until
                 for old in before
-                if old.fence == fence and rows_overlap(old.row, row)
+                if old.fence == fence and rows_overlap(old.key_range, key_range)
+            ]
+            ends += [
+                until
+                for granted, until in self._uncertain_grants
+                if rows_overlap(granted, key_range)
             ]
-            ends += [until for doubt, until in self._doubts if rows_overlap(doubt, row)]
             ends += [
-                self._bound(call.began + GRANT_SECONDS, call.hold)
+                self._latest_end(call.began + GRANT_TIMEOUT_SECONDS, call.hold)
                 for call in self._in_flight
-                if call.hold and rows_overlap(call.row, row)
+                if call.hold and rows_overlap(call.key_range, key_range)
             ]
-            latest = max(ends, default=self._bound(self._clock(), self._longest))
-            release = _Release(first=first, last=last, fence=fence, ends_at=latest)
+            latest = max(ends, default=self._latest_end(self._clock(), self._max_hold))
+            release = _Release(first=first, last=last, fence=fence, expires_at=latest)
             self._releases.append(release)
 
-    # What to do
+    # Calls that are due
 
     def due(self):
-        """Return the calls that are due, and take them as begun."""
+        """Return the calls that are due, and count them as in flight from now on."""
         now = self._clock()
         calls = [
             call
             for release in list(self._releases)
-            if (call := self._due_release(release, now))
+            if (call := self._next_release_call(release, now))
         ]
-        calls += self._due_grants(now)
+        calls += self._next_grant_calls(now)
         self._in_flight.update(calls)
         return calls
 
-    def _due_release(self, release, now):
-        if now > release.ends_at:
-            # Nobody renews it: whatever the server was granted is over.
-            self._finish(release, "")
+    def _next_release_call(self, release, now):
+        if now > release.expires_at:
+            # The range is no longer renewed, so every grant of it has expired.
+            self._finish_release(release, "")
             return None
-        if now < release.next_at or self._is_called(release.row, grants_only=True):
+        if now < release.next_call_at or self._has_call_in_flight(
+            release.key_range, grants_only=True
+        ):
             return None
-        release.next_at = now + RELEASE_SECONDS
+        release.next_call_at = now + RELEASE_TIMEOUT_SECONDS
         call = KeyCall(
             first=release.first, last=release.last, fence=release.fence, began=now
         )
         release.calls.append(call)
         return call
 
-    def _due_grants(self, now):
-        room = MOST_GRANTS - sum(1 for call in self._in_flight if call.hold)
+    def _next_grant_calls(self, now):
+        free = MAX_GRANTS_IN_FLIGHT - sum(1 for call in self._in_flight if call.hold)
         calls = []
-        left = (self._permitted - now - GRANT_SECONDS) / (1 + DRIFT)
-        hold = min(self._longest, left)
-        if hold < LEAST_HOLD:
+        left = (self._permitted_until - now - GRANT_TIMEOUT_SECONDS) / (
+            1 + MAX_CLOCK_DRIFT
+        )
+        hold = min(self._max_hold, left)
+        if hold < MIN_HOLD_SECONDS:
             return calls
         waiting = sorted(
-            (row for row in self._rows if row.next_at <= now),
-            key=lambda row: row.until,
+            (held for held in self._ranges if held.next_call_at <= now),
+            key=lambda held: held.held_until,
         )
-        for row in waiting:
-            if len(calls) >= room:
+        for held in waiting:
+            if len(calls) >= free:
                 break
-            if self._is_called(row.row):
+            if self._has_call_in_flight(held.key_range):
                 continue
             call = KeyCall(
-                first=row.first,
-                last=row.last,
-                fence=row.fence,
-                handover=row.handover,
+                first=held.first,
+                last=held.last,
+                fence=held.fence,
+                handover=held.handover,
                 hold=hold,
                 began=now,
             )
-            row.ends_at = max(row.ends_at, self._bound(now + GRANT_SECONDS, hold))
+            held.may_hold_until = max(
+                held.may_hold_until,
+                self._latest_end(now + GRANT_TIMEOUT_SECONDS, hold),
+            )
             calls.append(call)
         return calls
 
-    def _is_called(self, row, *, grants_only=False):
+    def _has_call_in_flight(self, key_range, *, grants_only=False):
         return any(
-            rows_overlap(call.row, row)
+            rows_overlap(call.key_range, key_range)
             for call in self._in_flight
             if call.hold or not grants_only
         )
 
-    def next_at(self):
-        """Return the clock's time at which another call is due."""
-        times = [row.next_at for row in self._rows]
-        times += [release.next_at for release in self._releases]
-        times += [item.ready for item in self._returned]
+    def next_call_at(self):
+        """Return the clock's time at which the next call or return is due."""
+        times = [held.next_call_at for held in self._ranges]
+        times += [release.next_call_at for release in self._releases]
+        times += [item.ready for item in self._pending_returns]
         return min(times, default=float("inf"))
 
     @staticmethod
-    def _bound(arrived, hold):
-        """Return when a grant is over that arrived at the latest at `arrived`."""
-        return arrived + hold * (1 + DRIFT) + MARGIN_SECONDS
+    def _latest_end(arrived, hold):
+        """Return when a grant received by the time `arrived` has surely expired."""
+        return arrived + hold * (1 + MAX_CLOCK_DRIFT) + TIMER_MARGIN_SECONDS
 
-    # What became of a call
+    # Results of calls
 
     def note_done(self, call, handover=""):
-        """Note that a call was answered with success."""
-        self._end(call, heard=True)
+        """Record that the server carried out a call."""
+        self._finish_call(call, answered=True)
         if not call.hold:
-            release = self._release_of(call)
+            release = self._release_for(call)
             if release is not None:
-                self._finish(release, handover)
+                self._finish_release(release, handover)
             return
-        share = self._rng.uniform(*RENEW_SHARES)
-        for row in self._rows_of(call):
-            # The server counts from the arrival, which is no earlier.
-            row.until = max(row.until, call.began + call.hold)
-            row.next_at = call.began + call.hold * share
-            row.lost = 0
-
-    def note_refused(self, call):
-        """Note that a higher fence was seen there: never call with this again.
-
-        What else of the row the server holds runs out by itself; the leader
-        is told then, and grants the keys under a fence above all others.
+        share = self._rng.uniform(*RENEWAL_POINT_RANGE)
+        for held in self._ranges_for(call):
+            # The server counts from the arrival, which is no earlier than `began`.
+            held.held_until = max(held.held_until, call.began + call.hold)
+            held.next_call_at = call.began + call.hold * share
+            held.lost_calls = 0
+
+    def note_fenced(self, call):
+        """Record that the server has seen a higher fencing token than the call's.
+
+        The range is never granted under this token again. Whatever the server still
+        holds of it expires by itself; then the range is returned to the leader, which
+        grants the keys under a token higher than all others.
         """
-        self._end(call, heard=True)
-        for row in self._rows_of(call):
-            self._rows.remove(row)
-            self._given_up.append(_GivenUp(row=row.row, fence=row.fence))
-            self._return(row, "", ready=row.ends_at)
+        self._finish_call(call, answered=True)
+        for held in self._ranges_for(call):
+            self._ranges.remove(held)
+            self._retired.append(
+                _RetiredRange(key_range=held.key_range, fence=held.fence)
+            )
+            self._queue_return(held, "", ready=held.may_hold_until)
 
-    def note_denied(self, call):
-        """Note an answer that says that the call was not carried out."""
-        self._end(call, heard=True)
-        self._put_off(call, DENIED_PAUSE)
+    def note_rejected(self, call):
+        """Record an answer that says that the call was not carried out."""
+        self._finish_call(call, answered=True)
+        self._postpone(call, REJECTED_RETRY_SECONDS)
 
     def note_lost(self, call, *, sent=True):
-        """Note that a call got no answer, and that its connection is ended.
+        """Record that a call got no answer and that its connection was closed.
 
-        One that was not even `sent` leaves nothing in doubt.
+        The server may still apply a grant that was `sent`.
         """
-        self._end(call, heard=False)
+        self._finish_call(call, answered=False)
         now = self._clock()
         if call.hold and sent:
-            self._doubts = [doubt for doubt in self._doubts if doubt[1] > now]
-            self._doubts.append((call.row, self._bound(now, call.hold)))
-        for row in self._rows_of(call):
-            row.lost += 1
-        lost = max((row.lost for row in self._rows_of(call)), default=1)
-        self._put_off(call, min(LONGEST_PAUSE, FIRST_PAUSE * 2 ** (lost - 1)))
-
-    def _end(self, call, *, heard):
+            self._uncertain_grants = [
+                grant for grant in self._uncertain_grants if grant[1] > now
+            ]
+            self._uncertain_grants.append(
+                (call.key_range, self._latest_end(now, call.hold))
+            )
+        for held in self._ranges_for(call):
+            held.lost_calls += 1
+        lost = max((held.lost_calls for held in self._ranges_for(call)), default=1)
+        self._postpone(
+            call, min(MAX_RETRY_SECONDS, MIN_RETRY_SECONDS * 2 ** (lost - 1))
+        )
+
+    def _finish_call(self, call, *, answered):
         self._in_flight.discard(call)
-        if heard:
-            self._heard_at = self._clock()
-            self._lost = 0
+        if answered:
+            self._last_answer_at = self._clock()
+            self._calls_lost_in_row = 0
         else:
-            self._lost += 1
+            self._calls_lost_in_row += 1
 
-    def _put_off(self, call, seconds):
+    def _postpone(self, call, seconds):
         at = self._clock() + seconds
-        for row in self._rows_of(call):
-            row.next_at = at
-        release = None if call.hold else self._release_of(call)
+        for held in self._ranges_for(call):
+            held.next_call_at = at
+        release = None if call.hold else self._release_for(call)
         if release is not None:
-            release.next_at = min(release.next_at, at)
+            release.next_call_at = min(release.next_call_at, at)
 
-    def _rows_of(self, call):
+    def _ranges_for(self, call):
+        """Return the assigned ranges that a grant affects; none for a release."""
         if not call.hold:
             return []
         return [
-            row
-            for row in self._rows
-            if row.fence == call.fence and rows_overlap(row.row, call.row)
+            held
+            for held in self._ranges
+            if held.fence == call.fence and rows_overlap(held.key_range, call.key_range)
         ]
 
-    def _release_of(self, call):
+    def _release_for(self, call):
         return next((r for r in self._releases if call in r.calls), None)
 
-    # What the leader is told
+    # Returning keys to the leader
 
-    def _finish(self, release, handover):
-        """Note that the server has given a row up."""
+    def _finish_release(self, release, handover):
+        """Record that the server no longer holds a range."""
         self._releases.remove(release)
-        self._return(release, handover, ready=self._clock())
+        self._queue_return(release, handover, ready=self._clock())
 
-    def _return(self, row, handover, *, ready):
-        """Give a row back to the leader, once no late grant can revive it."""
+    def _queue_return(self, held, handover, *, ready):
+        """Queue a range for return once no late grant can make it held again."""
         ready = max(
-            [ready, *(until for r, until in self._doubts if rows_overlap(r, row.row))]
+            [
+                ready,
+                *(
+                    until
+                    for granted, until in self._uncertain_grants
+                    if rows_overlap(granted, held.key_range)
+                ),
+            ]
         )
-        returned = _Returned(
-            first=row.first,
-            last=row.last,
-            fence=row.fence,
+        item = _PendingReturn(
+            first=held.first,
+            last=held.last,
+            fence=held.fence,
             handover=handover,
             ready=ready,
         )
-        self._returned.append(returned)
+        self._pending_returns.append(item)
 
-    def returned(self):
-        """Return rows (first, last, fence, handover) that are given up for sure."""
+    def pending_returns(self):
+        """Return released ranges that the leader has not acknowledged.
+
+        Each is (first, last, fence, handover) and is certainly no longer held.
+        """
         now = self._clock()
-        return tuple(item.fields for item in self._returned if item.ready <= now)
-
-    def note_told(self, rows):
-        """Note that the leader has taken returned rows."""
-        told = set(rows)
-        self._returned = [item for item in self._returned if item.fields not in told]
-        forget_at = self._clock() + REMEMBERED_SECONDS
-        for old in self._given_up:
-            if any(rows_overlap(old.row, row) and old.fence == row[2] for row in told):
+        return tuple(item.fields for item in self._pending_returns if item.ready <= now)
+
+    def note_acknowledged(self, rows):
+        """Record that the leader has acknowledged returned ranges."""
+        acknowledged = set(rows)
+        self._pending_returns = [
+            item for item in self._pending_returns if item.fields not in acknowledged
+        ]
+        forget_at = self._clock() + RETIRED_RANGE_SECONDS
+        for old in self._retired:
+            if any(
+                rows_overlap(old.key_range, row) and old.fence == row[2]
+                for row in acknowledged
+            ):
                 old.forget_at = min(old.forget_at, forget_at)
--- a/guavastream/leases/lease.py
+++ b/guavastream/leases/lease.py
@@ -1,4 +1,4 @@
-"""Both ends of a lease: the holder's deadline and the keeper's book."""
+"""Both ends of a lease: the holder's deadline and the grantor's records."""
 
 from dataclasses import dataclass
 
@@ -7,16 +7,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LeaseTiming:
-    """Times of leases, in seconds.
+    """Durations of leases, in seconds.
 
     Parameters
     ----------
     duration : float
-        How long a renewal counts for its holder.
+        How long a renewal is valid for the holder.
     interval : float
         Pause between renewals.
     drift : float
-        Bound on the difference of two clocks' rates, as a share.
+        Upper bound on the relative difference between the rates of two clocks.
     """
 
     duration: float = 0.5
@@ -24,18 +24,20 @@
     drift: float = 0.01
 
     @classmethod
-    def of_length(cls, milliseconds):
-        """Return the times for leases of a length; renewed four times in it."""
+    def from_milliseconds(cls, milliseconds):
+        """Return the timing of leases that are renewed four times per duration."""
         return cls(duration=milliseconds / 1000, interval=milliseconds / 4000)
 
     @property
-    def kept(self):
-        """How long the keeper waits before it gives anything away."""
+    def grantor_duration(self):
+        """How long the grantor waits before it reassigns what the holder owned."""
         return self.duration * (1 + 2 * self.drift)
 
 
 class Lease:
-    """The holder's end: a deadline that the loop moves and threads read.
+    """The holder's end of a lease: a deadline set by the event loop.
+
+    Any thread may read it.
 
     Parameters
     ----------
@@ -44,9 +46,9 @@
 
     Notes
     -----
-    The holder counts from the moment it *sent* the renewal, the keeper from
-    the moment it *received* it, which is later. Without clock drift the
-    holder therefore always stops first; `LeaseTiming.drift` covers the rest.
+    The holder counts from the moment it *sent* the renewal, the grantor from the
+    moment it *received* it, which is later. Without clock drift the holder therefore
+    always stops first; `LeaseTiming.drift` allows for drift.
 
     References
     ----------
@@ -68,41 +70,41 @@
 
     @property
     def is_held(self):
-        """Whether the lease still runs; reads the clock each time.
+        """Whether the lease has not expired; reads the clock each time.
 
-        A process that was paused learns it here, before it does anything
-        with what it held: the clock went on while it stood still.
+        A process that was paused thus detects the expiry before it uses what the
+        lease protects, because the clock continued during the pause.
         """
         return self._clock() < self._deadline
 
     @property
     def remaining(self):
-        """Seconds left, negative once it ran out."""
+        """Seconds until the lease expires, negative afterwards."""
         return self._deadline - self._clock()
 
     @property
     def deadline(self):
-        """The clock's time at which the lease ends."""
+        """The clock's time at which the lease expires."""
         return self._deadline
 
     def extend(self, deadline):
-        """Move the deadline on; an earlier one changes nothing."""
+        """Extend the lease to a deadline; an earlier one has no effect."""
         self._deadline = max(self._deadline, deadline)
 
     def drop(self):
-        """Give the lease up at once."""
+        """Give up the lease immediately."""
         self._deadline = float("-inf")
 
 
 class LeaseKeeper:
-    """The keeper's end, on the leading control host.
+    """The grantor's end of all leases, on the leading control host.
 
     Parameters
     ----------
     clock : callable
         Monotonic time in seconds.
     timing : LeaseTiming
-        Times of leases.
+        Durations of leases.
 
     Examples
     --------
@@ -121,46 +123,52 @@
     def __init__(self, *, clock, timing):
         self._clock = clock
         self._timing = timing
-        self._until = {}
-        self._condemned = set()
+        self._expires_at = {}
+        self._expired = set()
 
     def start(self, members, *, since):
-        """Begin a term: each member may hold a lease of the leader before.
+        """Begin a term in which each member may hold a lease of an earlier leader.
 
-        A new leader does not know what was renewed last, so it waits a full
-        lease before it gives anything away; it may renew at once. `since` is
-        the clock's time after which no earlier leader renewed anything.
+        A new leader does not know the latest renewals, so it treats every lease as
+        renewed at `since`: the clock's time after which no earlier leader renewed
+        anything. It may renew leases immediately.
         """
-        until = min(since, self._clock()) + self._timing.kept
-        self._until = dict.fromkeys(members, until)
-        self._condemned = set()
+        expires_at = min(since, self._clock()) + self._timing.grantor_duration
+        self._expires_at = dict.fromkeys(members, expires_at)
+        self._expired = set()
 
     def admit(self, member):
-        """Begin to keep the lease of a new member."""
-        if member not in self._condemned:
-            self._until.setdefault(member, self._clock() + self._timing.kept)
+        """Start tracking the lease of a new member."""
+        if member not in self._expired:
+            self._expires_at.setdefault(
+                member, self._clock() + self._timing.grantor_duration
+            )
 
     def renew(self, member):
-        """Renew a lease; return False if it has run out for good."""
-        # Once expiry was noticed the removal may be in the log already, so a
-        # renewal that comes late must not bring the lease back.
-        if member in self._condemned or member not in self._until:
+        """Renew a lease; return False if it has expired or is unknown."""
+        # Once `expired` has returned a member, its removal may already be in the log,
+        # so a late renewal must not revive the lease.
+        if member in self._expired or member not in self._expires_at:
             return False
-        self._until[member] = self._clock() + self._timing.kept
+        self._expires_at[member] = self._clock() + self._timing.grantor_duration
         return True
 
     def expired(self):
-        """Return the members whose leases have run out; they stay so."""
+        """Return the members whose leases have expired; this is permanent."""
         now = self._clock()
-        gone = [member for member, until in self._until.items() if until <= now]
-        self._condemned.update(gone)
-        return sorted(self._condemned)
+        newly_expired = [
+            member
+            for member, expires_at in self._expires_at.items()
+            if expires_at <= now
+        ]
+        self._expired.update(newly_expired)
+        return sorted(self._expired)
 
     def forget(self, member):
-        """Drop a member that was removed from the table."""
-        self._until.pop(member, None)
+        """Stop tracking a member that was removed from the table."""
+        self._expires_at.pop(member, None)
 
     def release(self, member):
-        """End a lease early, because its holder gave it up."""
-        if member in self._until:
-            self._until[member] = self._clock()
+        """Expire a lease immediately because its holder gave it up."""
+        if member in self._expires_at:
+            self._expires_at[member] = self._clock()
--- a/guavastream/leases/messages.py
+++ b/guavastream/leases/messages.py
@@ -4,25 +4,25 @@
 
 __all__ = [
     "Renew",
-    "Renewed",
+    "RenewAnswer",
     "Submit",
-    "Submitted",
+    "SubmitAnswer",
     "Watch",
-    "Watched",
+    "WatchAnswer",
 ]
 
 
 @message
 class Submit:
-    """A command for the log, as a tag and a body (see `messages.codec`)."""
+    """Submits a command for the log, as a tag and a body (see `messages.codec`)."""
 
     tag: bytes
     body: bytes
 
 
-@message
-class Submitted:
-    """A command was committed; `result` is msgpack of what it returned."""
+@message(tag="Submitted")
+class SubmitAnswer:
+    """Says that a command was committed; `result` is its return value in msgpack."""
 
     index: int
     result: bytes
@@ -30,10 +30,9 @@
 
 @message
 class Renew:
-    """A process asks to renew its lease, and reports what it has in force.
+    """Asks for renewal of a process's lease and reports its table's index and revision.
 
-    `member` is 0 for a process that has no backend server, which then only
-    reports.
+    `member` is 0 for a process without a backend server, which only reports.
     """
 
     host: str
@@ -43,12 +42,12 @@
     in_flight: int = 0
 
 
-@message
-class Renewed:
-    """The lease runs `duration` seconds from when the renewal was *sent*.
+@message(tag="Renewed")
+class RenewAnswer:
+    """Grants a lease of `duration` seconds, counted from when `Renew` was *sent*.
 
-    It counts only once the holder has the table at `index`. `gone` says that
-    the member's lease had run out and will never be renewed.
+    The lease takes effect only once the holder has the table at `index`. `gone` means
+    that the member's lease has expired and will never be renewed.
     """
 
     duration: float
@@ -58,18 +57,19 @@
 
 @message
 class Watch:
-    """A process that has the table at `index` asks for what follows."""
+    """Asks for changes after the table at `index`, waiting for them up to `wait` s."""
 
     index: int
     wait: float
 
 
-@message
-class Watched:
-    """Commands after the asker's index, and before them a whole table if too many.
+@message(tag="Watched")
+class WatchAnswer:
+    """Returns the commands after the requested index.
 
-    `commands` holds pairs of index and encoded command, `hosts` the peer
-    addresses of the control hosts, if they may change.
+    `commands` are pairs of index and encoded command. If there are too many of them,
+    `table` is a whole encoded table to which they are then applied. `hosts` are the
+    peer addresses of the control hosts, if these may change.
     """
 
     commands: tuple[tuple[int, bytes], ...] = ()
--- a/guavastream/leases/tests/test_client.py
+++ b/guavastream/leases/tests/test_client.py
@@ -1,4 +1,4 @@
-"""Finding the leader, with calls side by side."""
+"""Finding the leading control host, with concurrent calls and partitions."""
 
 import asyncio
 
@@ -9,13 +9,13 @@
 
 
 class Hosts(Transport):
-    """One lost leader, one that leads, one that knows who does."""
+    """Hosts "lost", which never answers, "follower" and "leader"."""
 
     def __init__(self):
-        self.asked = []
+        self.called = []
 
     async def call(self, address, request, *, timeout):
-        self.asked.append(address)
+        self.called.append(address)
         if address == "lost":
             await asyncio.sleep(timeout)
             raise CallTimeout("lost")
@@ -24,9 +24,10 @@
         return address
 
 
-def test_a_call_that_waited_long_does_not_undo_what_others_found():
-    # The leader is lost while a slow call waits for it. Quick calls find the
-    # next one; when the slow one ends, it must not lead them away again.
+def test_slow_call_does_not_undo_the_switch_to_a_new_leader():
+    # The leader is lost while a call with a long timeout waits for it. Quick calls
+    # find the new leader meanwhile; when the slow call times out, the client must
+    # stay with the new leader.
     async def main():
         hosts = Hosts()
         client = ControlClient(
@@ -35,14 +36,14 @@
         slow = asyncio.ensure_future(client.call("x", timeout=2.0, attempt=0.7))
         assert await client.call("x", timeout=2.0, attempt=0.2) == "leader"
         assert await slow == "leader"
-        hosts.asked.clear()
+        hosts.called.clear()
         assert await client.call("x", timeout=2.0, attempt=0.2) == "leader"
-        assert hosts.asked == ["leader"]
+        assert hosts.called == ["leader"]
 
     run_paused(main())
 
 
-def test_a_hint_at_the_host_that_was_just_asked_is_not_followed():
+def test_follower_redirects_to_the_leader():
     async def main():
         hosts = Hosts()
         client = ControlClient(transport=hosts, addresses=("follower", "leader"))
@@ -52,8 +53,8 @@
     run_paused(main())
 
 
-class CutOffHosts(Transport):
-    """Two hosts that are cut off still name the leader of before."""
+class PartitionedHosts(Transport):
+    """Hosts "a" and "b" are partitioned and name the former leader; "d" leads."""
 
     async def call(self, address, request, *, timeout):
         if address in ("a", "b"):
@@ -63,13 +64,13 @@
         raise NotLeader(leader="")
 
 
-def test_hints_of_hosts_that_are_cut_off_do_not_go_round_for_ever():
-    # The caller reaches both sides of a cut. The leader of before has no
-    # majority any more; it and its neighbour name it again and again, and the
-    # servers' heartbeats went unanswered until all holds had run out.
+def test_hints_of_partitioned_hosts_do_not_loop_forever():
+    # The caller reaches both sides of a partition. The former leader has lost its
+    # majority, but it and its neighbor keep naming it. A client that only follows
+    # these hints leaves heartbeats of servers unanswered until all holds expire.
     async def main():
         addresses = ("a", "b", "c", "d", "e")
-        client = ControlClient(transport=CutOffHosts(), addresses=addresses)
+        client = ControlClient(transport=PartitionedHosts(), addresses=addresses)
         assert await client.call("x", timeout=0.85) == "d"
 
     run_paused(main())
--- a/guavastream/leases/tests/test_hedged_watch.py
+++ b/guavastream/leases/tests/test_hedged_watch.py
@@ -1,27 +1,32 @@
-"""Several control hosts asked for the same news."""
+"""Concurrent calls to several control hosts for the same answer."""
 
 import asyncio
 
 from guavastream.emulator import run_paused
-from guavastream.leases.hedged_watch import _Asked
+from guavastream.leases.hedged_watch import _ConcurrentCalls
 
 
-def test_an_answer_that_comes_as_the_time_is_over_is_taken():
-    """Guards against news that is dropped and asked for anew elsewhere."""
+def test_answer_that_arrives_at_the_deadline_is_used():
+    """Guards against an answer that is dropped and requested again elsewhere.
+
+    It arrives in the loop iteration in which the wait for it times out.
+    """
 
     async def main():
         loop = asyncio.get_running_loop()
-        asked = _Asked(loop=loop)
+        calls = _ConcurrentCalls(loop=loop)
         answer = loop.create_future()
 
         async def call():
             return await answer
 
-        asked.add(call(), address="a", wait=1.0)
+        calls.add(call(), address="a", wait=1.0)
         until = loop.time() + 1.0
-        waiting = asyncio.ensure_future(asked.answered(until, hasty=False))
+        waiting = asyncio.ensure_future(
+            calls.first_answer(until, stop_if_all_failed=False)
+        )
         await asyncio.sleep(0)
-        # Due in the same turn of the loop, and before it.
+        # Due in the same loop iteration as the timeout, and before it.
         loop.call_at(until - 1e-7, answer.set_result, "news")
         found = await waiting
         assert found is not None and found.task.result() == "news"
--- a/guavastream/leases/tests/test_keys.py
+++ b/guavastream/leases/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Which call the local server is owed, on a clock that the tests move."""
+"""Calls that are due to the local server, on a clock that the tests advance."""
 
 import random
 
@@ -7,186 +7,195 @@
 from guavastream.fleet import KEY_COUNT, HeartbeatAnswer
 from guavastream.leases import KeyLeases
 from guavastream.leases.keys import (
-    DARK_CALLS,
-    DARK_SECONDS,
-    GRANT_SECONDS,
-    LONGEST_HOLD,
-    RELEASE_SECONDS,
-    RENEW_SHARES,
+    GRANT_TIMEOUT_SECONDS,
+    MAX_HOLD_SECONDS,
+    RELEASE_TIMEOUT_SECONDS,
+    RENEWAL_POINT_RANGE,
+    UNRESPONSIVE_CALLS,
+    UNRESPONSIVE_SECONDS,
 )
 
-HOLD = 2.8
-SLOW_CLOCK = 1 / 0.98
-# After this time each row is due for renewal, and still held.
-RENEWAL = LONGEST_HOLD * RENEW_SHARES[1]
-ALL = (0, KEY_COUNT - 1, 7, "")
+HOLD_SECONDS = 2.8
+SLOW_CLOCK_FACTOR = 1 / 0.98
+# After this time each key range is due for renewal and still held.
+RENEWAL_SECONDS = MAX_HOLD_SECONDS * RENEWAL_POINT_RANGE[1]
+ALL_KEYS = (0, KEY_COUNT - 1, 7, "")
 
 
-class Bench:
-    """Leases of one server, with the leader's answers at hand."""
+class Rig:
+    """Key leases of one server, with answers of the leader made by the test."""
 
     def __init__(self, *, since=100.0):
         self.now = since
         self.leases = KeyLeases(clock=lambda: self.now, rng=random.Random(1))
-        # What a process that has just started cannot know is over by then.
-        self.now += 2 * LONGEST_HOLD
+        # By then every grant of a predecessor process has expired.
+        self.now += 2 * MAX_HOLD_SECONDS
 
-    def tell(self, *rows, drops=(), age=0.0):
-        answer = HeartbeatAnswer(index=1, rows=rows, hold=HOLD, drops=drops)
-        self.leases.take(answer, sent=self.now - age)
+    def instruct(self, *rows, drops=(), age=0.0):
+        answer = HeartbeatAnswer(index=1, rows=rows, hold=HOLD_SECONDS, drops=drops)
+        self.leases.apply_answer(answer, sent=self.now - age)
 
-    def granted(self, *rows):
-        self.tell(*rows)
+    def grant(self, *rows):
+        self.instruct(*rows)
         for call in self.leases.due():
             self.leases.note_done(call)
 
 
-def test_a_row_is_granted_renewed_and_held():
-    bench = Bench()
-    bench.tell(ALL)
-    (call,) = bench.leases.due()
-    assert call.hold and not bench.leases.covers(5)
-    bench.leases.note_done(call)
-    assert bench.leases.covers(5) and not bench.leases.due()
-    bench.now = bench.leases.next_at()
-    bench.tell(ALL)
-    (again,) = bench.leases.due()
-    # The same call again is what renews a grant.
-    assert (again.row, again.fence) == (call.row, call.fence)
-    bench.now = call.began + call.hold
-    assert not bench.leases.covers(5)
-
-
-@given(age=st.floats(0, 3), left=st.floats(0, 3), wait=st.floats(0, GRANT_SECONDS))
-def test_what_a_server_holds_ends_before_its_permission(age, left, wait):
-    # The server would work on while another one has its keys. The call may
-    # arrive at the last moment, and the server's clock may be slow.
-    bench = Bench()
-    bench.tell(ALL, age=age)
-    permitted = bench.now - age + HOLD
-    bench.now += left
-    for call in bench.leases.due():
-        arrived = bench.now + wait
-        assert arrived + call.hold * SLOW_CLOCK <= permitted + 0.02 * HOLD
-
-
-def test_a_suspended_process_finds_its_permission_over():
-    bench = Bench()
-    bench.granted(ALL)
-    bench.now += 10.0
-    assert not bench.leases.covers(5) and not bench.leases.due()
-
-
-def test_a_part_is_released_and_the_rest_renewed():
-    bench = Bench()
-    bench.granted(ALL)
-    bench.tell((0, 9, 7, ""), (20, KEY_COUNT - 1, 7, ""))
-    (call,) = bench.leases.due()
-    assert call.row == (10, 19) and not call.hold
-    assert bench.leases.covers(5) and not bench.leases.covers(15)
-    bench.leases.note_done(call, "h")
-    assert bench.leases.returned() == ((10, 19, 7, "h"),)
-    # A new leader that does not know of the move says what the book says.
-    bench.tell(ALL)
-    bench.now += RENEWAL
-    rows = {call.row for call in bench.leases.due()}
-    assert rows == {(0, 9), (20, KEY_COUNT - 1)}
-    bench.leases.note_told(bench.leases.returned())
-    assert not bench.leases.returned()
-
-
-def test_a_release_waits_for_the_grant_that_is_on_its_way():
-    bench = Bench()
-    bench.tell(ALL)
-    (grant,) = bench.leases.due()
-    bench.tell()
-    assert not bench.leases.due()
-    bench.leases.note_lost(grant)
-    (release,) = bench.leases.due()
-    bench.leases.note_done(release)
-    # The grant may be carried out still, and counts from when it came.
-    assert not bench.leases.returned()
-    bench.now += grant.hold * SLOW_CLOCK
-    assert not bench.leases.returned()
-    bench.now += 0.1
-    assert bench.leases.returned()
-
-
-def test_a_lost_release_is_sent_again_and_ends_with_the_hold():
-    bench = Bench()
-    bench.granted(ALL)
-    bench.tell()
+def test_range_is_granted_and_renewed_and_expires():
+    rig = Rig()
+    rig.instruct(ALL_KEYS)
+    (call,) = rig.leases.due()
+    assert call.hold and not rig.leases.covers(5)
+    rig.leases.note_done(call)
+    assert rig.leases.covers(5) and not rig.leases.due()
+    rig.now = rig.leases.next_call_at()
+    rig.instruct(ALL_KEYS)
+    (again,) = rig.leases.due()
+    # A grant is renewed by sending the same grant again.
+    assert (again.key_range, again.fence) == (call.key_range, call.fence)
+    rig.now = call.began + call.hold
+    assert not rig.leases.covers(5)
+
+
+@given(
+    age=st.floats(0, 3), left=st.floats(0, 3), wait=st.floats(0, GRANT_TIMEOUT_SECONDS)
+)
+def test_server_never_holds_keys_longer_than_permitted(age, left, wait):
+    # Guards against a server that works on keys which another server already has.
+    # The grant may arrive just before its timeout, and the server's clock may be slow.
+    rig = Rig()
+    rig.instruct(ALL_KEYS, age=age)
+    permitted = rig.now - age + HOLD_SECONDS
+    rig.now += left
+    for call in rig.leases.due():
+        arrived = rig.now + wait
+        assert (
+            arrived + call.hold * SLOW_CLOCK_FACTOR <= permitted + 0.02 * HOLD_SECONDS
+        )
+
+
+def test_permission_has_expired_after_a_suspension():
+    rig = Rig()
+    rig.grant(ALL_KEYS)
+    rig.now += 10.0
+    assert not rig.leases.covers(5) and not rig.leases.due()
+
+
+def test_part_of_a_range_is_released_and_the_rest_renewed():
+    rig = Rig()
+    rig.grant(ALL_KEYS)
+    rig.instruct((0, 9, 7, ""), (20, KEY_COUNT - 1, 7, ""))
+    (call,) = rig.leases.due()
+    assert call.key_range == (10, 19) and not call.hold
+    assert rig.leases.covers(5) and not rig.leases.covers(15)
+    rig.leases.note_done(call, "h")
+    assert rig.leases.pending_returns() == ((10, 19, 7, "h"),)
+    # A new leader that does not know of the move assigns the whole range again.
+    rig.instruct(ALL_KEYS)
+    rig.now += RENEWAL_SECONDS
+    ranges = {call.key_range for call in rig.leases.due()}
+    assert ranges == {(0, 9), (20, KEY_COUNT - 1)}
+    rig.leases.note_acknowledged(rig.leases.pending_returns())
+    assert not rig.leases.pending_returns()
+
+
+def test_release_waits_for_a_grant_in_flight():
+    rig = Rig()
+    rig.instruct(ALL_KEYS)
+    (grant,) = rig.leases.due()
+    rig.instruct()
+    assert not rig.leases.due()
+    rig.leases.note_lost(grant)
+    (release,) = rig.leases.due()
+    rig.leases.note_done(release)
+    # The server may still apply the grant, and counts its hold from the arrival.
+    assert not rig.leases.pending_returns()
+    rig.now += grant.hold * SLOW_CLOCK_FACTOR
+    assert not rig.leases.pending_returns()
+    rig.now += 0.1
+    assert rig.leases.pending_returns()
+
+
+def test_lost_release_is_resent_until_the_hold_expires():
+    rig = Rig()
+    rig.grant(ALL_KEYS)
+    rig.instruct()
     for _ in range(3):
-        (release,) = bench.leases.due()
-        bench.now += RELEASE_SECONDS
-        bench.leases.note_lost(release)
-        bench.now = max(bench.now, bench.leases.next_at())
-    bench.now += 2 * LONGEST_HOLD
-    assert not bench.leases.due()
-    assert bench.leases.returned() == ((0, KEY_COUNT - 1, 7, ""),)
-
-
-def test_a_refused_fence_is_never_used_again():
-    # Somebody newer was there: the leader grants the row anew under a fence
-    # above all, once what the server may still hold is over.
-    bench = Bench()
-    bench.tell(ALL)
-    (call,) = bench.leases.due()
-    bench.leases.note_refused(call)
-    assert not bench.leases.returned()
-    bench.tell(ALL)
-    assert not bench.leases.due()
-    bench.now += 2 * LONGEST_HOLD
-    assert bench.leases.returned() == ((0, KEY_COUNT - 1, 7, ""),)
-    bench.leases.note_told(bench.leases.returned())
-    bench.tell((0, KEY_COUNT - 1, 9, ""))
-    assert [call.fence for call in bench.leases.due()] == [9]
-
-
-def test_a_process_that_has_just_started_returns_nothing_at_once():
-    # Its predecessor's calls may still be carried out.
+        (release,) = rig.leases.due()
+        rig.now += RELEASE_TIMEOUT_SECONDS
+        rig.leases.note_lost(release)
+        rig.now = max(rig.now, rig.leases.next_call_at())
+    rig.now += 2 * MAX_HOLD_SECONDS
+    assert not rig.leases.due()
+    assert rig.leases.pending_returns() == ((0, KEY_COUNT - 1, 7, ""),)
+
+
+def test_fencing_token_is_not_used_again_after_a_refusal():
+    # The server has seen a higher fencing token. The range must be returned once the
+    # server can no longer hold it; the leader then grants it under a new token.
+    rig = Rig()
+    rig.instruct(ALL_KEYS)
+    (call,) = rig.leases.due()
+    rig.leases.note_fenced(call)
+    assert not rig.leases.pending_returns()
+    rig.instruct(ALL_KEYS)
+    assert not rig.leases.due()
+    rig.now += 2 * MAX_HOLD_SECONDS
+    assert rig.leases.pending_returns() == ((0, KEY_COUNT - 1, 7, ""),)
+    rig.leases.note_acknowledged(rig.leases.pending_returns())
+    rig.instruct((0, KEY_COUNT - 1, 9, ""))
+    assert [call.fence for call in rig.leases.due()] == [9]
+
+
+def test_new_process_waits_for_grants_of_its_predecessor():
+    # The server may still apply grants that the previous process sent, so keys must
+    # not be returned to the leader before those would have expired.
     now = 100.0
     leases = KeyLeases(clock=lambda: now, rng=random.Random(1))
     drops = ((0, 9, 7),)
-    leases.take(HeartbeatAnswer(index=1, rows=(), hold=HOLD, drops=drops), sent=now)
+    leases.apply_answer(
+        HeartbeatAnswer(index=1, rows=(), hold=HOLD_SECONDS, drops=drops), sent=now
+    )
     (release,) = leases.due()
     leases.note_done(release)
-    assert not leases.returned()
-    now += LONGEST_HOLD * SLOW_CLOCK + 0.1
-    assert leases.returned()
+    assert not leases.pending_returns()
+    now += MAX_HOLD_SECONDS * SLOW_CLOCK_FACTOR + 0.1
+    assert leases.pending_returns()
 
 
-def test_a_new_life_of_the_server_leaves_nothing_in_doubt():
-    # After all lost power its keys are moved to where they are needed at once.
+def test_new_server_incarnation_has_no_uncertain_grants():
+    # After a power loss of all hosts, keys must move at once to where they are needed.
     now = 100.0
     leases = KeyLeases(clock=lambda: now, rng=random.Random(1))
-    leases.note_new()
+    leases.note_no_predecessor()
     drops = ((0, 9, 7),)
-    leases.take(HeartbeatAnswer(index=1, rows=(), hold=HOLD, drops=drops), sent=now)
+    leases.apply_answer(
+        HeartbeatAnswer(index=1, rows=(), hold=HOLD_SECONDS, drops=drops), sent=now
+    )
     (release,) = leases.due()
     leases.note_done(release)
-    assert leases.returned()
-
-
-def test_a_server_that_answers_nothing_is_dark():
-    bench = Bench()
-    bench.granted(ALL)
-    for _ in range(DARK_CALLS):
-        bench.tell(ALL)
-        bench.now += RENEWAL
-        for call in bench.leases.due():
-            bench.leases.note_lost(call)
-    assert bench.leases.is_dark
-    bench.leases.note_done(call)
-    assert not bench.leases.is_dark
-
-
-def test_a_few_lost_calls_in_a_short_time_are_no_darkness():
-    bench = Bench()
-    bench.granted(ALL)
-    bench.tell(ALL)
-    bench.now += DARK_SECONDS / 2
-    for _ in range(DARK_CALLS):
-        for call in bench.leases.due():
-            bench.leases.note_lost(call)
-    assert not bench.leases.is_dark
+    assert leases.pending_returns()
+
+
+def test_server_that_answers_nothing_is_unresponsive():
+    rig = Rig()
+    rig.grant(ALL_KEYS)
+    for _ in range(UNRESPONSIVE_CALLS):
+        rig.instruct(ALL_KEYS)
+        rig.now += RENEWAL_SECONDS
+        for call in rig.leases.due():
+            rig.leases.note_lost(call)
+    assert rig.leases.is_unresponsive
+    rig.leases.note_done(call)
+    assert not rig.leases.is_unresponsive
+
+
+def test_few_lost_calls_in_a_short_time_do_not_make_a_server_unresponsive():
+    rig = Rig()
+    rig.grant(ALL_KEYS)
+    rig.instruct(ALL_KEYS)
+    rig.now += UNRESPONSIVE_SECONDS / 2
+    for _ in range(UNRESPONSIVE_CALLS):
+        for call in rig.leases.due():
+            rig.leases.note_lost(call)
+    assert not rig.leases.is_unresponsive
--- a/guavastream/membership/__init__.py
+++ b/guavastream/membership/__init__.py
@@ -1,3 +1,3 @@
-"""A node's part in the system: it follows the table and renews its lease."""
+"""The membership of a node: it follows the table and renews its lease."""
 
 from guavastream.membership.membership import *
--- a/guavastream/membership/membership.py
+++ b/guavastream/membership/membership.py
@@ -1,4 +1,4 @@
-"""A node's part: follow the table, join with its server, renew its lease."""
+"""Follows the table, registers the local server and renews its lease."""
 
 import asyncio
 import uuid
@@ -13,12 +13,12 @@
 from guavastream.leases.messages import Renew, Watch
 from guavastream.state import RegisterMember, RemoveMembers, SetLeaving
 
-__all__ = ["Announced", "Membership"]
+__all__ = ["ServerAnnouncement", "Membership"]
 
-WATCH_SECONDS = 1.0
-WATCH_PATIENCE = 0.5
-RENEW_SECONDS = 0.5
-SUBMIT_SECONDS = 2.0
+WATCH_WAIT_SECONDS = 1.0
+WATCH_FINAL_WAIT_SECONDS = 0.5
+RENEW_TIMEOUT_SECONDS = 0.5
+SUBMIT_TIMEOUT_SECONDS = 2.0
 RETRY_SECONDS = 0.05
 CATCH_UP_SECONDS = 0.02
 
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Announced:
+class ServerAnnouncement:
     """The local backend server as it announced itself; `address` is IP:PORT."""
 
     service: str
@@ -36,22 +36,23 @@
 
 
 class Membership:
-    """Keeps this process in the system.
+    """Keeps this process and its local server a member of the system.
 
     Parameters
     ----------
     host, zone, region, door : str
-        From the settings.
+        Settings; `door` is the IP:PORT at which callers and other processes
+        reach this one.
     control : ControlClient
-        Reaches the control hosts.
+        Calls the control hosts.
     tables : TableHolder
-        Kept up to date.
+        The copy of the table that is kept up to date.
     clock : callable
         Monotonic time in seconds.
     timing : LeaseTiming
-        Times of leases.
+        Durations of leases.
     record : callable
-        Takes the kind and fields of an event.
+        Records an event, given its kind and fields.
     """
 
     def __init__(
@@ -77,87 +78,91 @@
         self._timing = timing or LeaseTiming()
         self._record = record
         self._incarnation = uuid.uuid4().hex
-        number = xxhash.xxh3_64_intdigest(host.encode()) % len(control.addresses)
-        self._news = HedgedWatch(control=control, first=control.addresses[number])
+        position = xxhash.xxh3_64_intdigest(host.encode()) % len(control.addresses)
+        self._hedged_watch = HedgedWatch(
+            control=control, first=control.addresses[position]
+        )
         self._lease = Lease(clock=clock)
         self._announced = None
-        self._joined = None
+        self._registered = None
         self._member = 0
-        self._had_lease = False
+        self._lease_was_held = False
         self._ready = asyncio.Event()
-        self._poke = asyncio.Event()
+        self._announcement_changed = asyncio.Event()
 
     @property
     def lease(self):
-        """The lease for all that this member owns."""
+        """The lease that covers everything this member owns."""
         return self._lease
 
     @property
-    def watched(self):
-        """Peer address of the control host that is asked for news first."""
-        return self._news.first
+    def watched_address(self):
+        """Peer address of the control host whose table is watched first."""
+        return self._hedged_watch.first
 
     @property
     def member(self):
-        """Member id, or 0 before joining and after the lease was lost."""
+        """Member id, or 0 before registration and after the membership was lost."""
         return self._member
 
     @property
     def announced(self):
-        """The server that announced itself, or None."""
+        """The announcement of the local server, or None."""
         return self._announced
 
     @property
     def ready(self):
-        """Set once the table is as new as any that was ever in force here.
+        """Event that is set once the table is at least as new as any used here before.
 
-        A process that restarts has no memory of the revisions it served; it
-        waits for one that the leader confirms as current.
+        A restarted process does not know which revisions it served, so it waits until
+        the leader has confirmed that its table is current.
         """
         return self._ready
 
     def announce(self, announced):
-        """Take the announcement of the local backend server, or None."""
+        """Set the announcement of the local backend server, or None."""
         if announced != self._announced:
             self._announced = announced
-            self._poke.set()
+            self._announcement_changed.set()
 
     async def run(self):
-        """Follow the table and renew until cancelled."""
+        """Follow the table and renew the lease until cancelled."""
         await asyncio.gather(self._watch(), self._renew())
 
     async def leave(self):
-        """Tell the control hosts that this member gives up what it owns."""
+        """Tell the control hosts that this member is giving up what it owns."""
         if self._member:
             command = SetLeaving(member=self._member)
-            await self._control.submit(command, timeout=SUBMIT_SECONDS)
+            await self._control.submit(command, timeout=SUBMIT_TIMEOUT_SECONDS)
 
     async def depart(self):
-        """End the membership; nothing may run at the server any more."""
+        """End the membership; the server must not run any requests by now."""
         member, self._member = self._member, 0
         self._lease.drop()
         self._announced = None
         if member:
             command = RemoveMembers(members=(member,))
-            await self._control.submit(command, timeout=SUBMIT_SECONDS)
+            await self._control.submit(command, timeout=SUBMIT_TIMEOUT_SECONDS)
 
     async def _watch(self):
-        wait = WATCH_SECONDS
+        wait = WATCH_WAIT_SECONDS
         while True:
             request = Watch(index=self._tables.table.index, wait=wait)
             try:
-                answer = await self._news.ask(request, patience=WATCH_PATIENCE)
-                self._take(answer)
+                answer = await self._hedged_watch.ask(
+                    request, final_wait=WATCH_FINAL_WAIT_SECONDS
+                )
+                self._apply(answer)
             except GuavastreamError as error:
-                log.debug("No news of the table: %s.", error)
+                log.debug("Watching the table failed: %s.", error)
                 wait = 0.0
                 await asyncio.sleep(RETRY_SECONDS)
                 continue
-            wait = WATCH_SECONDS
+            wait = WATCH_WAIT_SECONDS
 
-    def _take(self, answer):
+    def _apply(self, answer):
         before = self._tables.table.revision
-        self._tables.take(answer.table, answer.commands)
+        self._tables.apply_update(answer.table, answer.commands)
         table = self._tables.table
         if table.revision != before:
             self._record(
@@ -169,26 +174,26 @@
     async def _renew(self):
         while True:
             try:
-                if self._announced != self._joined:
-                    await self._join()
+                if self._announced != self._registered:
+                    await self._register()
                 await self._renew_once()
             except GuavastreamError as error:
-                log.debug("Renewal failed: %s.", error)
-            self._note_loss()
-            await self._pause()
+                log.debug("Lease renewal failed: %s.", error)
+            self._record_lease_loss()
+            await self._wait_for_next_renewal()
 
-    async def _pause(self):
+    async def _wait_for_next_renewal(self):
         try:
             async with asyncio.timeout(self._timing.interval):
-                await self._poke.wait()
+                await self._announcement_changed.wait()
         except TimeoutError:
             pass
-        self._poke.clear()
+        self._announcement_changed.clear()
 
-    async def _join(self):
+    async def _register(self):
         announced = self._announced
-        # The server that came back is another one: whatever ran at the old
-        # one is over, and its shards come back under new epochs.
+        # A changed announcement means another server. Whatever ran at the old one has
+        # ended, and its shards are assigned again under new epochs.
         self._member = 0
         self._lease.drop()
         if announced is not None:
@@ -202,10 +207,12 @@
                 service=announced.service,
                 slots=announced.slots,
             )
-            self._member = await self._control.submit(command, timeout=SUBMIT_SECONDS)
-            log.info("Joined as member %d.", self._member)
+            self._member = await self._control.submit(
+                command, timeout=SUBMIT_TIMEOUT_SECONDS
+            )
+            log.info("Registered as member %d.", self._member)
             self._record("joined", service=announced.service, epoch=self._member)
-        self._joined = announced
+        self._registered = announced
 
     async def _renew_once(self):
         sent = self._clock()
@@ -216,45 +223,45 @@
             index=table.index,
             revision=table.revision,
         )
-        answer = await self._control.call(request, timeout=RENEW_SECONDS)
+        answer = await self._control.call(request, timeout=RENEW_TIMEOUT_SECONDS)
         if answer.gone and self._member == request.member:
-            self._lose()
+            self._reset_member()
             return
-        # Extending before the table has caught up could keep alive an owner
-        # whose shard was given away while it was out of touch.
+        # Extending the lease before the table has caught up could let this member keep
+        # serving a shard that was reassigned while it was disconnected.
         await self._catch_up(answer.index)
         self._ready.set()
         if self._member and self._member == request.member:
             self._lease.extend(sent + answer.duration)
-            self._had_lease = True
+            self._lease_was_held = True
 
     async def _catch_up(self, index):
-        """Bring the table to `index`, if need be from the leader itself.
+        """Bring the table to `index`, requesting it from the leader if necessary.
 
-        The control host that is watched may just have been lost, which shows
-        only when the watch runs out; waiting for that would cost the lease.
+        The watched control host may just have failed, which is noticed only when the
+        watch times out. Waiting for that would cost the lease.
         """
         if self._tables.table.index >= index:
             return
         if await self._tables.wait(index, CATCH_UP_SECONDS):
             return
         request = Watch(index=self._tables.table.index, wait=0.0)
-        self._take(await self._control.call(request, timeout=RENEW_SECONDS))
+        self._apply(await self._control.call(request, timeout=RENEW_TIMEOUT_SECONDS))
         if self._tables.table.index < index:
-            raise NotReady("The table is behind the leader's.")
+            raise NotReady("The table is older than the leader's.")
 
-    def _lose(self):
+    def _reset_member(self):
         if self._member:
-            log.warning("Member %d is gone; joins anew.", self._member)
+            log.warning("Member %d was removed; registering again.", self._member)
             self._record("member_gone", epoch=self._member)
         self._member = 0
         self._lease.drop()
-        self._joined = None
-        # A new boot name makes the next registration another member, even
-        # though process and server are the same.
+        self._registered = None
+        # A new incarnation makes the next registration a new member, although the
+        # process and the server are the same.
         self._incarnation = uuid.uuid4().hex
 
-    def _note_loss(self):
-        if self._had_lease and not self._lease.is_held:
-            self._had_lease = False
+    def _record_lease_loss(self):
+        if self._lease_was_held and not self._lease.is_held:
+            self._lease_was_held = False
             self._record("lease_lost", epoch=self._member)
--- a/guavastream/membership/tests/test_membership.py
+++ b/guavastream/membership/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""A node that loses touch, catches up, or finds its membership gone."""
+"""A node that is cut off, catches up, or has been removed from the members."""
 
 import asyncio
 
@@ -7,13 +7,13 @@
     ControlClient,
     LeaseTiming,
     Renew,
-    Renewed,
+    RenewAnswer,
     Submit,
-    Submitted,
+    SubmitAnswer,
     Watch,
-    Watched,
+    WatchAnswer,
 )
-from guavastream.membership import Announced, Membership
+from guavastream.membership import Membership, ServerAnnouncement
 from guavastream.messages import decode_message
 from guavastream.state import (
     Noop,
@@ -22,19 +22,19 @@
     encode_command,
 )
 
-NODE = "10.0.0.1:1"
-CONTROL = ("10.0.1.1:1", "10.0.1.2:1")
+NODE_ADDRESS = "10.0.0.1:1"
+CONTROL_ADDRESSES = ("10.0.1.1:1", "10.0.1.2:1")
 TIMING = LeaseTiming()
-SERVER = Announced(service="s", address="127.0.0.1:9", boot="b1", slots=4)
+SERVER = ServerAnnouncement(service="s", address="127.0.0.1:9", boot="b1", slots=4)
 
 
 class FakeControl:
-    """Answers as a leading control host does, from a list of commands."""
+    """Answers like a leading control host, from a list of commands."""
 
     def __init__(self):
         self.commands = [encode_command(Noop())]
-        self.joined = []
-        self.gone = set()
+        self.registrations = []
+        self.removed = set()
 
     @property
     def index(self):
@@ -47,28 +47,28 @@
                 if asyncio.get_running_loop().time() >= deadline:
                     break
                 await asyncio.sleep(0.005)
-            return Watched(commands=tuple(enumerate(self.commands, 1)))
+            return WatchAnswer(commands=tuple(enumerate(self.commands, 1)))
         if isinstance(request, Renew):
-            return Renewed(
+            return RenewAnswer(
                 duration=TIMING.duration,
                 index=self.index,
-                gone=request.member in self.gone,
+                gone=request.member in self.removed,
             )
         assert isinstance(request, Submit)
         command = decode_message(request.tag, request.body)
         self.commands.append(encode_command(command))
         if isinstance(command, RegisterMember):
-            self.joined.append(command)
-        return Submitted(index=self.index, result=bytes([self.index]))
+            self.registrations.append(command)
+        return SubmitAnswer(index=self.index, result=bytes([self.index]))
 
 
-class Bench:
-    """One node and its control hosts on a fake network."""
+class Rig:
+    """One node and its control hosts on an emulated network."""
 
     def __init__(self):
         self.network = FakeNetwork()
         self.control = FakeControl()
-        for address in CONTROL:
+        for address in CONTROL_ADDRESSES:
             self.network.serve(address, self.control.handle)
         self.tables = ShardTableHolder()
         self.events = []
@@ -78,7 +78,8 @@
             region="",
             door="127.0.0.1:1",
             control=ControlClient(
-                transport=self.network.transport(NODE), addresses=CONTROL
+                transport=self.network.transport(NODE_ADDRESS),
+                addresses=CONTROL_ADDRESSES,
             ),
             tables=self.tables,
             clock=asyncio.get_running_loop().time,
@@ -87,65 +88,66 @@
         self.task = asyncio.ensure_future(self.membership.run())
 
 
-def with_bench(scenario):
+def run_with_rig(scenario):
     async def run():
-        bench = Bench()
-        bench.membership.announce(SERVER)
+        rig = Rig()
+        rig.membership.announce(SERVER)
         await asyncio.sleep(0.5)
-        assert bench.membership.lease.is_held
-        await scenario(bench)
+        assert rig.membership.lease.is_held
+        await scenario(rig)
 
     run_paused(run())
 
 
-def test_loss_of_the_watched_control_host_costs_no_lease():
-    """The control host that a node watches is lost while changes are made.
+def test_lease_survives_the_loss_of_the_watched_control_host():
+    """Guards against a lost lease when the watched control host fails.
 
-    Callers must notice nothing: the watch runs out only later, so the node
-    fetches what it lacks from the leader that renews its lease.
+    The table changes meanwhile, and the watch times out only later, so the node must
+    fetch the missing changes from the leader that renews its lease.
     """
 
-    async def scenario(bench):
-        bench.network.cut(NODE, bench.membership.watched)
+    async def scenario(rig):
+        rig.network.cut(NODE_ADDRESS, rig.membership.watched_address)
         for _ in range(100):
-            bench.control.commands.append(encode_command(Noop()))
+            rig.control.commands.append(encode_command(Noop()))
             await asyncio.sleep(0.02)
-            assert bench.membership.lease.is_held
+            assert rig.membership.lease.is_held
 
-    with_bench(scenario)
+    run_with_rig(scenario)
 
 
-def test_lease_ends_when_no_control_host_is_heard():
-    """A node is cut off; it must stop before its shards are given away."""
+def test_lease_expires_when_no_control_host_is_reachable():
+    """Guards against a node that, cut off, serves shards after their reassignment."""
 
-    async def scenario(bench):
-        for address in CONTROL:
-            bench.network.cut(NODE, address)
+    async def scenario(rig):
+        for address in CONTROL_ADDRESSES:
+            rig.network.cut(NODE_ADDRESS, address)
         await asyncio.sleep(TIMING.duration + 0.01)
-        assert not bench.membership.lease.is_held
+        assert not rig.membership.lease.is_held
 
-    with_bench(scenario)
+    run_with_rig(scenario)
 
 
-def test_renewal_does_not_count_before_the_table_has_caught_up():
-    """A renewal arrives, but not the change that took a shard away.
+def test_renewal_has_no_effect_before_the_table_has_caught_up():
+    """Guards against two owners that serve the same shard.
 
-    Counting it would let the node serve the shard beside its new owner.
+    The node's lease is renewed, but the change that reassigned one of its shards has
+    not reached it. Extending the lease would let it go on serving that shard.
     """
 
-    async def scenario(bench):
-        for address in CONTROL:
-            bench.network.serve(address, _only_renewals(bench.control))
+    async def scenario(rig):
+        for address in CONTROL_ADDRESSES:
+            rig.network.serve(address, _answer_all_but_watches(rig.control))
         await asyncio.sleep(2)
-        assert bench.membership.lease.is_held
-        bench.control.commands.append(encode_command(Noop()))
+        assert rig.membership.lease.is_held
+        rig.control.commands.append(encode_command(Noop()))
         await asyncio.sleep(TIMING.duration + 0.2)
-        assert not bench.membership.lease.is_held
+        assert not rig.membership.lease.is_held
 
-    with_bench(scenario)
+    run_with_rig(scenario)
 
 
-def _only_renewals(control):
+def _answer_all_but_watches(control):
     async def handle(request):
         if isinstance(request, Watch):
             await asyncio.sleep(3600)
@@ -154,14 +156,14 @@
     return handle
 
 
-def test_late_answer_to_a_renewal_counts_from_when_it_was_sent():
-    """A renewal takes half the lease to be answered, in a slow network.
+def test_lease_is_counted_from_when_the_renewal_was_sent():
+    """Guards against a holder whose lease outlasts the grantor's.
 
-    The keeper counts from its receipt at the latest, so the holder must not
-    count from the answer.
+    On a slow network, a renewal takes almost half the lease to be answered. The grantor
+    counts from the receipt at the latest, so the holder must not count from the answer.
     """
 
-    async def scenario(bench):
+    async def scenario(rig):
         loop = asyncio.get_running_loop()
         sent = []
 
@@ -169,49 +171,49 @@
             if isinstance(request, Renew):
                 sent.append(loop.time())
                 await asyncio.sleep(0.2)
-            return await bench.control.handle(request)
+            return await rig.control.handle(request)
 
-        for address in CONTROL:
-            bench.network.serve(address, slow)
+        for address in CONTROL_ADDRESSES:
+            rig.network.serve(address, slow)
         await asyncio.sleep(1)
-        assert bench.membership.lease.deadline <= sent[-1] + TIMING.duration
+        assert rig.membership.lease.deadline <= sent[-1] + TIMING.duration
 
-    with_bench(scenario)
+    run_with_rig(scenario)
 
 
-def test_member_that_is_gone_joins_as_another():
-    """A node was away for longer than its lease; its shards are another's.
+def test_removed_member_registers_under_a_new_id():
+    """Guards against a returning node that regains reassigned shards.
 
-    It must come back under a new id: renewing the old one could bring back
-    ownership that has been given away.
+    It was cut off for longer than its lease, and its shards have other owners. Renewing
+    the old id could restore ownership that was given to another member.
     """
 
-    async def scenario(bench):
-        old = bench.membership.member
-        bench.control.gone.add(old)
+    async def scenario(rig):
+        old = rig.membership.member
+        rig.control.removed.add(old)
         await asyncio.sleep(0.15)
         await asyncio.sleep(0.3)
-        assert bench.membership.member not in (0, old)
-        first, last = bench.control.joined[0], bench.control.joined[-1]
+        assert rig.membership.member not in (0, old)
+        first, last = rig.control.registrations[0], rig.control.registrations[-1]
         assert first.incarnation != last.incarnation
-        assert "member_gone" in bench.events
+        assert "member_gone" in rig.events
 
-    with_bench(scenario)
+    run_with_rig(scenario)
 
 
-def test_restarted_server_is_another_member():
-    """The backend server restarts beside a process that lives on.
+def test_restarted_server_registers_as_a_new_member():
+    """Guards against epochs of the old member that reach a restarted server.
 
-    What ran at the old one is over; epochs of the old member must not reach
-    the new server.
+    The backend server restarts while the process beside it goes on running. What ran at
+    the old server has ended.
     """
 
-    async def scenario(bench):
-        old = bench.membership.member
-        bench.membership.announce(
-            Announced(service="s", address="127.0.0.1:9", boot="b2", slots=4)
+    async def scenario(rig):
+        old = rig.membership.member
+        rig.membership.announce(
+            ServerAnnouncement(service="s", address="127.0.0.1:9", boot="b2", slots=4)
         )
         await asyncio.sleep(0.05)
-        assert bench.membership.member not in (0, old)
+        assert rig.membership.member not in (0, old)
 
-    with_bench(scenario)
+    run_with_rig(scenario)
--- a/guavastream/relay/guard.py
+++ b/guavastream/relay/guard.py
@@ -393,7 +393,7 @@
                 raise NotRun("moving")
             # The wait ends when the server is granted the key, or when the book gives
             # the key to another server. The second case sets no event, and is polled.
-            self._books.want()
+            self._books.request_update()
             with contextlib.suppress(TimeoutError):
                 pause = max(MIN_POLL_SECONDS, min(KEY_POLL_SECONDS, left))
                 with TimeLimit.within(pause, loop=self._loop):
--- a/guavastream/replica/__init__.py
+++ b/guavastream/replica/__init__.py
@@ -1,4 +1,4 @@
-"""Copies of replicated state: commands as bytes, and the newest state of a process."""
+"""Copies of replicated state: encoding commands, and a process's current table."""
 
 from guavastream.replica.codec import *
 from guavastream.replica.holder import *
--- a/guavastream/replica/codec.py
+++ b/guavastream/replica/codec.py
@@ -1,4 +1,4 @@
-"""Commands as bytes, and what a kind of replicated state must offer."""
+"""Encodes commands, and defines the codec that each kind of table provides."""
 
 import abc
 
@@ -15,26 +15,26 @@
 
 
 def decode_command(data):
-    """Return the command that `encode_command` wrote."""
+    """Return the command that `encode_command` encoded."""
     tag, body = msgspec.msgpack.decode(unpack(data))
     return decode_message(tag, body)
 
 
 class TableCodec(abc.ABC):
-    """The kind of state that a control log keeps.
+    """Creates, encodes and decodes one kind of table, the state of a control log.
 
-    A state has an `index` and `apply(index, command)`, which returns the next
-    state and the command's result.
+    A table has an `index` and a method `apply(index, command)`, which returns the next
+    table and the result of the command.
     """
 
     @abc.abstractmethod
     def empty(self):
-        """Return the state before the first command."""
+        """Return the table before the first command."""
 
     @abc.abstractmethod
     def encode(self, table):
-        """Return a whole state as bytes."""
+        """Return a whole table as bytes."""
 
     @abc.abstractmethod
     def decode(self, data):
-        """Return the state that `encode` wrote."""
+        """Return the table that `encode` encoded."""
--- a/guavastream/replica/holder.py
+++ b/guavastream/replica/holder.py
@@ -1,4 +1,4 @@
-"""The newest table of a process, read by all its threads."""
+"""The current table of a process, read by all its threads."""
 
 import asyncio
 import threading
@@ -11,73 +11,73 @@
 
 __all__ = ["TableHolder"]
 
-# What bytes raise that are no table or command of this version.
-UNREADABLE = (msgspec.MsgspecError, ValueError, TypeError, LookupError)
+# Raised by decoding or applying bytes that this version does not understand.
+DECODE_ERRORS = (msgspec.MsgspecError, ValueError, TypeError, LookupError)
 
 
 class TableHolder:
     """Holds one immutable table and swaps it by reference.
 
-    Only the event loop replaces the table; any thread may read it or wait.
+    Only the event loop replaces the table; any thread may read it or wait for changes.
 
     Parameters
     ----------
     codec : TableCodec
-        The kind of table.
+        Codec of the table.
 
     Attributes
     ----------
     confirmed_at : float
-        The loop's time at which a control host that hears a leader last said what
-        it knows. What is held may be as much older than the newest.
+        The loop's time at which a control host in contact with a leader last sent its
+        newest state. The table may be out of date by up to the time since then.
     """
 
     def __init__(self, *, codec):
         self._codec = codec
         self._table = self._codec.empty()
         self._changed = threading.Condition()
-        self._events = []
-        self._wanted = []
+        self._change_waiters = []
+        self._request_waiters = []
         self.confirmed_at = float("-inf")
 
     @property
     def table(self):
-        """The newest table."""
+        """The current table."""
         return self._table
 
     def age_ms(self, now):
-        """Return for how long the table is not confirmed, whole ms, or None."""
+        """Return the milliseconds since the last confirmation, or None without one."""
         age = now - self.confirmed_at
         return round(age * 1000) if age < float("inf") else None
 
     def replace(self, table):
-        """Take a table unless it is older than the one held."""
-        # A process must never go back: an answer that was delayed may carry
-        # an older table than one that came on a faster connection.
+        """Replace the table by a newer one; others are ignored."""
+        # A process must never go back to an older table. A delayed answer may carry an
+        # older one than an answer that came on a faster connection.
         if table.index <= self._table.index:
             return
         with self._changed:
             self._table = table
             self._changed.notify_all()
-        events, self._events = self._events, []
-        for event in events:
+        waiters, self._change_waiters = self._change_waiters, []
+        for event in waiters:
             event.set()
 
-    def take(self, data, commands):
-        """Take news in one step: no reader sees what is in between.
+    def apply_update(self, data, commands):
+        """Apply an update in one step, so that readers see no intermediate table.
 
         Parameters
         ----------
         data : bytes
-            A whole encoded table, or none if the commands are enough.
+            A whole encoded table, or empty if the commands suffice.
         commands : iterable of tuple
-            Pairs of index and encoded command; known ones are skipped.
+            Pairs of index and encoded command; those already applied are skipped.
 
         Raises
         ------
         BadMessage
-            If they cannot be read or applied, as those of a later version; then
-            nothing is taken.
+            If the update cannot be decoded or applied, for instance because it comes
+            from a later version; the table then stays unchanged.
         """
         try:
             table = self._codec.decode(data) if data else self._table
@@ -86,43 +86,46 @@
             for index, data in commands:
                 if index > table.index:
                     table, _ = table.apply(index, decode_command(data))
-        except UNREADABLE as error:
-            raise BadMessage(f"news that cannot be read: {error}") from error
+        except DECODE_ERRORS as error:
+            raise BadMessage(f"table update cannot be decoded: {error}") from error
         self.replace(table)
 
     async def wait(self, index, timeout):
-        """Wait in the event loop for a table at `index`; return whether it came."""
+        """Wait in the event loop for a table at `index`; return whether it arrived."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout
         while self._table.index < index:
             event = Signal(loop=loop)
-            self._events.append(event)
-            self.want()
+            self._change_waiters.append(event)
+            self.request_update()
             try:
                 if not await event.wait_until(deadline):
                     return False
             finally:
-                # Whoever has stopped waiting must not pass for one that waits.
-                if event in self._events:
-                    self._events.remove(event)
+                # `wait_until_requested` must not count a waiter that has given up.
+                if event in self._change_waiters:
+                    self._change_waiters.remove(event)
         return True
 
-    def want(self):
-        """Ask whoever follows the table for news without a pause."""
-        wanted, self._wanted = self._wanted, []
-        for event in wanted:
+    def request_update(self):
+        """Ask the task that follows the table to fetch changes without a pause."""
+        waiters, self._request_waiters = self._request_waiters, []
+        for event in waiters:
             event.set()
 
-    async def wait_wanted(self, timeout):
-        """Wait until somebody waits for news, or `timeout` seconds."""
-        if self._events:
+    async def wait_until_requested(self, timeout):
+        """Wait up to `timeout` seconds until an update is requested.
+
+        Return at once if a task already waits for a newer table.
+        """
+        if self._change_waiters:
             return
         loop = asyncio.get_running_loop()
         event = Signal(loop=loop)
-        self._wanted.append(event)
+        self._request_waiters.append(event)
         await event.wait_until(loop.time() + timeout)
 
     def wait_in_thread(self, index, timeout):
-        """Wait in a worker thread for a table after `index`."""
+        """Wait in a worker thread for a table after `index`; return whether it came."""
         with self._changed:
             return self._changed.wait_for(lambda: self._table.index > index, timeout)
--- a/guavastream/routing/__init__.py
+++ b/guavastream/routing/__init__.py
@@ -1,4 +1,4 @@
-"""The decision where a request goes, free of any transport."""
+"""Decides where requests go and when they are retried, independent of any transport."""
 
 from guavastream.routing.attempts import *
 from guavastream.routing.choose import *
--- a/guavastream/routing/attempts.py
+++ b/guavastream/routing/attempts.py
@@ -1,15 +1,15 @@
-"""What is known of each attempt, and whether another one is allowed."""
+"""Tracks the attempts of a request and decides whether it may be retried."""
 
 import threading
 from enum import Enum
 
-from guavastream.routing.outcomes import REFUSALS, Ran, Refused
+from guavastream.routing.outcomes import REFUSALS, Refused, RunStatus
 
-__all__ = ["Attempts", "Knowledge", "RetryBudget", "may_try_again"]
+__all__ = ["AttemptState", "Attempts", "RetryBudget", "may_try_again"]
 
 
-class Knowledge(Enum):
-    """How far an attempt is known to have come."""
+class AttemptState(Enum):
+    """How far an attempt is known to have progressed."""
 
     NOT_SENT = "not sent"
     NOT_RUN = "refused as not run"
@@ -17,30 +17,30 @@
     ANSWERED = "answered"
 
 
-def may_try_again(knowledge, *, idempotent):
+def may_try_again(state, *, idempotent):
     """Whether a request may be sent again after an attempt.
 
     Parameters
     ----------
-    knowledge : Knowledge
-        What is known of the attempt.
+    state : AttemptState
+        How far the attempt progressed.
     idempotent : bool
         Whether the request may run more than once.
 
     Examples
     --------
-    >>> may_try_again(Knowledge.SENT, idempotent=False)
+    >>> may_try_again(AttemptState.SENT, idempotent=False)
     False
-    >>> may_try_again(Knowledge.NOT_RUN, idempotent=False)
+    >>> may_try_again(AttemptState.NOT_RUN, idempotent=False)
     True
     """
-    if knowledge in (Knowledge.NOT_SENT, Knowledge.NOT_RUN):
+    if state in (AttemptState.NOT_SENT, AttemptState.NOT_RUN):
         return True
-    return knowledge is Knowledge.SENT and idempotent
+    return state is AttemptState.SENT and idempotent
 
 
 class Attempts:
-    """All that is known of one request's attempts.
+    """The results of all attempts of one request.
 
     Parameters
     ----------
@@ -50,8 +50,8 @@
     Examples
     --------
     >>> attempts = Attempts(idempotent=True)
-    >>> attempts.note("answer_lost", Knowledge.SENT)
-    >>> attempts.note("unreachable", Knowledge.NOT_SENT)
+    >>> attempts.note("answer_lost", AttemptState.SENT)
+    >>> attempts.note("unreachable", AttemptState.NOT_SENT)
     >>> attempts.final().refusal.code
     'answer_lost'
     """
@@ -59,60 +59,62 @@
     def __init__(self, *, idempotent):
         self._idempotent = idempotent
         self._code = ""
-        self._knowledge = None
+        self._state = None
         self._confirmed = False
         self._sent_code = ""
 
     @property
     def code(self):
-        """Code of the last attempt."""
+        """Refusal code of the last attempt."""
         return self._code
 
     @property
-    def knowledge(self):
-        """What is known of the last attempt."""
-        return self._knowledge
+    def state(self):
+        """How far the last attempt progressed."""
+        return self._state
 
     @property
     def may_try_again(self):
-        """Whether what is known allows another attempt."""
-        return may_try_again(self._knowledge, idempotent=self._idempotent)
+        """Whether another attempt is allowed after the last one."""
+        return may_try_again(self._state, idempotent=self._idempotent)
 
-    def note(self, code, knowledge, *, confirmed=False):
-        """Note how an attempt ended; see `Refused` for `confirmed`."""
-        self._code, self._knowledge, self._confirmed = code, knowledge, confirmed
-        if knowledge is Knowledge.SENT:
+    def note(self, code, state, *, confirmed=False):
+        """Record how an attempt ended; see `Refused` for `confirmed`."""
+        self._code, self._state, self._confirmed = code, state, confirmed
+        if state is AttemptState.SENT:
             self._sent_code = code
 
     def note_refused(self, refused):
-        """Note an attempt that ended with a `Refused`."""
-        self.note(refused.refusal.code, Knowledge.NOT_RUN, confirmed=refused.confirmed)
+        """Record an attempt that ended with a `Refused`."""
+        self.note(
+            refused.refusal.code, AttemptState.NOT_RUN, confirmed=refused.confirmed
+        )
 
     def final(self):
-        """Return the refusal that says the truth about all attempts.
+        """Return the refusal that is correct for all attempts together.
 
-        One attempt that was sent may have run. That a later one could not
-        even be sent must not turn this into "not run".
+        An attempt that was sent may have run. If a later attempt could not be sent,
+        the result must still not be reported as "not run".
         """
         if not self._sent_code:
             return Refused(self._code, confirmed=self._confirmed)
-        if REFUSALS[self._sent_code].ran is Ran.NOT_RUN:
+        if REFUSALS[self._sent_code].ran is RunStatus.NOT_RUN:
             return Refused("answer_lost")
         return Refused(self._sent_code)
 
 
 class RetryBudget:
-    """Bounds retries to a share of fresh traffic, for one service.
+    """Limits the retries of one service to a share of its new requests.
 
-    A count per request multiplies load just when a service fails; a share of
-    the fresh traffic bounds what the service sees at 1 + `share` times that.
+    A fixed number of retries per request would multiply the load just when a service
+    fails. A share of the new requests limits the load to 1 + `share` times theirs.
 
     Parameters
     ----------
     share : float
-        Retries earned by each fresh request.
+        Retries earned by each new request.
     reserve : float
-        Retries that may be saved up, also the stock at the start.
+        Maximum number of retries that can be saved up, also the initial number.
 
     Examples
     --------
@@ -126,18 +128,18 @@
     def __init__(self, *, share=0.2, reserve=10.0):
         self._share = share
         self._reserve = reserve
-        self._stock = reserve
+        self._available = reserve
         self._lock = threading.Lock()
 
     def earn(self):
-        """Count one fresh request."""
+        """Count one new request."""
         with self._lock:
-            self._stock = min(self._reserve, self._stock + self._share)
+            self._available = min(self._reserve, self._available + self._share)
 
     def spend(self):
-        """Take one retry; return False if none is left."""
+        """Use one retry; return False if none is left."""
         with self._lock:
-            if self._stock < 1:
+            if self._available < 1:
                 return False
-            self._stock -= 1
+            self._available -= 1
             return True
--- a/guavastream/routing/choose.py
+++ b/guavastream/routing/choose.py
@@ -1,4 +1,4 @@
-"""Choose the member for a request from the table."""
+"""Chooses the member that serves a request, based on the table."""
 
 import random
 import threading
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Target:
-    """Where an attempt goes; shard and epoch are -1 without a key."""
+    """The member to send an attempt to; shard and epoch are -1 without a key."""
 
     member: Member
     shard: int = -1
@@ -21,12 +21,12 @@
 
 
 def find_owner(table, service, key):
-    """Return the `Target` of a key.
+    """Return the `Target` that owns a key.
 
     Raises
     ------
     Refused
-        With `no_owner` while nobody owns the key.
+        With `no_owner` if the key currently has no owner.
     """
     pin = table.pins.get(service, {}).get(key)
     if pin is not None and pin.member in table.members:
@@ -43,15 +43,16 @@
 
 
 class Chooser:
-    """Chooses a server for requests without a key, by load seen from here.
+    """Chooses servers for requests without a key, by the load this process observes.
 
-    The smaller load of two members drawn at random wins; members of the own
-    availability zone win ties. Own counts come first: reports may mislead.
+    Of two members drawn at random, the one with the lower load is chosen; on a tie, a
+    member in this process's availability zone. Load is the number of this process's
+    own attempts in flight per slot, because load reported by servers may be wrong.
 
     Parameters
     ----------
     zone : str
-        Own availability zone.
+        Availability zone of this process.
     clock : callable
         Monotonic time in seconds.
     rng : random.Random, optional
@@ -67,38 +68,39 @@
         self._zone = zone
         self._rng = rng or random.Random()
         self._in_flight = {}
-        self._seen = Observations(clock=clock)
+        self._observations = Observations(clock=clock)
         self._lock = threading.Lock()
 
     def choose(self, table, service, *, avoid=()):
-        """Return a `Target`; members in `avoid` come last.
+        """Return a `Target`; members in `avoid` are chosen only if no others are left.
 
         Raises
         ------
         Refused
-            With `no_owner` if the service has no server for new work.
+            With `no_owner` if no server of the service accepts new requests.
         """
         servers = [m for m in table.servers(service) if not table.is_drained(m)]
         if not servers:
             raise Refused("no_owner")
-        usable = self._seen.usable(servers)
+        usable = self._observations.usable(servers)
         pool = [m for m in usable if m.id not in avoid]
         pool = pool or [m for m in servers if m.id not in avoid] or servers
         drawn = self._rng.sample(pool, min(2, len(pool)))
-        return Target(member=min(drawn, key=self._burden))
+        return Target(member=min(drawn, key=self._rank))
 
     def begin(self, member):
-        """Count an attempt at a member."""
+        """Count the start of an attempt at a member."""
         with self._lock:
             self._in_flight[member] = self._in_flight.get(member, 0) + 1
 
     def end(self, member, *, failed):
-        """Count the end of an attempt and what is learned from it."""
+        """Count the end of an attempt and whether it failed."""
         with self._lock:
             self._in_flight[member] = self._in_flight.get(member, 1) - 1
-        self._seen.note(member, failed=failed)
+        self._observations.note(member, failed=failed)
 
-    def _burden(self, member):
+    def _rank(self, member):
+        """Return the sort key of a member; the lowest is preferred."""
         near = member.zone == self._zone
         load = (self._in_flight.get(member.id, 0) + 1) / member.slots
-        return (load * self._seen.burden(member.id), not near)
+        return (load * self._observations.load_factor(member.id), not near)
--- a/guavastream/routing/classify.py
+++ b/guavastream/routing/classify.py
@@ -1,24 +1,25 @@
-"""Find out from a declaration what a request is."""
+"""Classifies requests: service, key, deadline, priority and idempotency."""
 
 import uuid
 from dataclasses import dataclass
 
 from guavastream.routing.outcomes import Refused
 
-__all__ = ["Classified", "classify", "made_at"]
+__all__ = ["ClassifiedRequest", "classify", "uuid7_seconds"]
 
-MAX_KEY = 512
-MAX_ID = 200
+MAX_KEY_LENGTH = 512
+MAX_REQUEST_ID_LENGTH = 200
 NOT_IDEMPOTENT_METHODS = ("POST", "PATCH")
-UUID_TIME_SHIFT = 80
-TIMED_VERSION = 7
+UUID7_TIME_SHIFT_BITS = 80
+UUID_TIME_VERSION = 7
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Classified:
-    """A request as routing sees it; `deadline` is in the clock's seconds.
+class ClassifiedRequest:
+    """The properties of a request that routing needs.
 
-    `operation` is the Idempotency-Key of a request that must not repeat.
+    `deadline` is a time of the clock in seconds. `operation` is the Idempotency-Key
+    of a request that is not idempotent, or empty.
     """
 
     id: str
@@ -32,54 +33,55 @@
 
     @property
     def owned_key(self):
-        """Key whose owner must serve it; empty if any server may."""
+        """Key whose owner must serve the request; empty if any server may."""
         return self.key or self.operation
 
 
 def classify(request, declaration, *, now):
-    """Return what a request is, free of any transport.
+    """Return the classification of a request, independent of its transport.
 
     Parameters
     ----------
     request : object
         Has `method`, `segments`, `peer`, `header(name)` and `query(name)`.
     declaration : Declaration
-        Services in force.
+        The declaration of services in force.
     now : float
-        The clock's time.
+        The clock's current time.
 
     Raises
     ------
     Refused
-        If the service is unknown, or the key or the deadline is not right.
+        If the service is unknown, or the path, key, Idempotency-Key or deadline is
+        missing or invalid.
     """
     segments = request.segments
     service = declaration.service(segments[0]) if segments else None
     if service is None:
         raise Refused("unknown_service")
-    path = _plain_path(segments)
+    path = _normalized_path(segments)
     idempotent = _is_idempotent(request.method, path, service)
     operation = "" if idempotent else request.header("Idempotency-Key")
     if operation:
-        made_at(operation)
-    return Classified(
+        uuid7_seconds(operation)
+    return ClassifiedRequest(
         id=_request_id(request),
         service=service,
         key=_find_key(request, service) if service.divided_by_key else "",
         idempotent=idempotent,
-        deadline=now + _seconds(request, service),
+        deadline=now + _timeout_seconds(request, service),
         priority=_priority(request.method, path, service),
         operation=operation,
         caller=request.header("Guavastream-Caller") or request.peer,
     )
 
 
-def _plain_path(segments):
-    """Return the decoded path as a backend server may understand it.
+def _normalized_path(segments):
+    """Return the path, decoded and without empty segments.
 
-    A request must not pass as another one because its path is written in
-    another way: `%70ost` for `post`, two slashes for one. Dot segments, whose
-    meaning depends on the server, are refused.
+    Equivalent spellings must not change how a request is classified, such as `%70ost`
+    for `post` or two slashes for one. Paths with dot segments, or with a slash encoded
+    in a segment, are refused, because their meaning depends on the server.
     """
     if any(part in (".", "..") or "/" in part for part in segments):
         raise Refused("bad_request")
@@ -101,31 +103,31 @@
     return service.priority
 
 
-def made_at(operation):
-    """Return the wall time at which an operation's id was made, in seconds.
+def uuid7_seconds(operation):
+    """Return the creation time in an operation's UUIDv7, in seconds of wall time.
 
     Raises
     ------
     Refused
-        If it is not a UUID of version 7, which carries its time.
+        With `bad_idempotency_key` if it is not a UUID of version 7.
 
     Examples
     --------
-    >>> made_at("01890a5d-ac96-774b-bcce-b302099a8057")
+    >>> uuid7_seconds("01890a5d-ac96-774b-bcce-b302099a8057")
     1688096058.518
     """
     try:
         parsed = uuid.UUID(operation)
     except ValueError:
         raise Refused("bad_idempotency_key") from None
-    if parsed.version != TIMED_VERSION:
+    if parsed.version != UUID_TIME_VERSION:
         raise Refused("bad_idempotency_key")
-    return (parsed.int >> UUID_TIME_SHIFT) / 1000
+    return (parsed.int >> UUID7_TIME_SHIFT_BITS) / 1000
 
 
 def _request_id(request):
     given = request.header("Guavastream-Request-Id")
-    if given and len(given) <= MAX_ID and given.isprintable():
+    if given and len(given) <= MAX_REQUEST_ID_LENGTH and given.isprintable():
         return given
     return uuid.uuid4().hex
 
@@ -140,15 +142,15 @@
         position = int(name) - 1
         segments = request.segments
         key = segments[position] if position < len(segments) else ""
-    if not key or len(key) > MAX_KEY:
+    if not key or len(key) > MAX_KEY_LENGTH:
         raise Refused("missing_key")
     return key
 
 
 def _matches(method, path, patterns):
     for pattern in patterns:
-        wanted, _, prefix = pattern.partition(" ")
-        if wanted != method:
+        pattern_method, _, prefix = pattern.partition(" ")
+        if pattern_method != method:
             continue
         if prefix.endswith("*") and path.startswith(prefix[:-1]):
             return True
@@ -157,7 +159,7 @@
     return False
 
 
-def _seconds(request, service):
+def _timeout_seconds(request, service):
     given = request.header("Guavastream-Deadline-Ms")
     if not given:
         return service.deadline_ms / 1000
--- a/guavastream/routing/health.py
+++ b/guavastream/routing/health.py
@@ -1,32 +1,36 @@
-"""What a process sees of each server by its own requests."""
+"""Passive health checks: ejects servers at which this process's attempts fail."""
 
 import threading
 from dataclasses import dataclass
 
-__all__ = ["EJECTED_SHARE", "Observations"]
+__all__ = ["MAX_EJECTED_SHARE", "Observations"]
 
-# At most this share of a service's servers is left out at a time. Beyond it
-# the fault is more likely ours, or everybody's, than theirs.
-EJECTED_SHARE = 0.5
+# Servers are ejected only up to this share of a service's servers. If more fail, the
+# cause is more likely this process, or one that all servers have in common.
+MAX_EJECTED_SHARE = 0.5
 FAILURES_TO_EJECT = 5
-FIRST_EJECTION_SECONDS = 1.0
-LONGEST_EJECTION_SECONDS = 8.0
-RETURN_SECONDS = 2.0
-RETURN_BURDEN = 4.0
+MIN_EJECTION_SECONDS = 1.0
+MAX_EJECTION_SECONDS = 8.0
+# During this time after an ejection, the factor by which a server's load is
+# multiplied falls from the value below to 1.
+RECOVERY_SECONDS = 2.0
+RECOVERY_LOAD_FACTOR = 4.0
 
 
 @dataclass(kw_only=True, slots=True)
-class _Seen:
+class _Observed:
+    """Consecutive failures and ejections of one server."""
+
     failures: int = 0
     ejections: int = 0
-    out_until: float = float("-inf")
+    ejected_until: float = float("-inf")
 
 
 class Observations:
-    """Counts failures in a row and leaves a server out for a growing time.
+    """Counts consecutive failures and ejects failing servers for a growing time.
 
-    Answers and broken attempts are what counts; what a server says of its
-    health or load is not asked here, because it may lag or mislead.
+    Only the results of attempts count. The health and load that servers report are
+    not used here, because they may be outdated or wrong.
 
     Parameters
     ----------
@@ -36,62 +40,65 @@
     Examples
     --------
     >>> now = 0.0
-    >>> seen = Observations(clock=lambda: now)
+    >>> observations = Observations(clock=lambda: now)
     >>> for _ in range(FAILURES_TO_EJECT):
-    ...     seen.note(7, failed=True)
-    >>> seen.is_out(7)
+    ...     observations.note(7, failed=True)
+    >>> observations.is_ejected(7)
     True
     >>> now = 1.5
-    >>> seen.is_out(7), seen.burden(7)
+    >>> observations.is_ejected(7), observations.load_factor(7)
     (False, 3.25)
     """
 
     def __init__(self, *, clock):
         self._clock = clock
-        self._seen = {}
+        self._observed = {}
         self._lock = threading.Lock()
 
     def note(self, member, *, failed):
-        """Count one attempt at a member."""
+        """Record the result of one attempt at a member."""
         with self._lock:
-            seen = self._seen.setdefault(member, _Seen())
+            observed = self._observed.setdefault(member, _Observed())
             if not failed:
-                seen.failures = 0
-                if self._clock() > seen.out_until + RETURN_SECONDS:
-                    seen.ejections = 0
+                observed.failures = 0
+                if self._clock() > observed.ejected_until + RECOVERY_SECONDS:
+                    observed.ejections = 0
                 return
-            seen.failures += 1
-            if seen.failures >= FAILURES_TO_EJECT:
-                self._eject(seen)
-
-    def _eject(self, seen):
-        length = FIRST_EJECTION_SECONDS * 2**seen.ejections
-        seen.out_until = self._clock() + min(length, LONGEST_EJECTION_SECONDS)
-        seen.ejections += 1
-        # One failure on return is enough for the next, longer ejection.
-        seen.failures = FAILURES_TO_EJECT - 1
-
-    def is_out(self, member):
-        """Whether a member is left out at this moment."""
-        seen = self._seen.get(member)
-        return seen is not None and self._clock() < seen.out_until
-
-    def burden(self, member):
-        """Return a factor on a member's load; it falls to 1 on its return."""
-        seen = self._seen.get(member)
-        if seen is None:
+            observed.failures += 1
+            if observed.failures >= FAILURES_TO_EJECT:
+                self._eject(observed)
+
+    def _eject(self, observed):
+        seconds = MIN_EJECTION_SECONDS * 2**observed.ejections
+        observed.ejected_until = self._clock() + min(seconds, MAX_EJECTION_SECONDS)
+        observed.ejections += 1
+        # After the ejection, a single failure suffices for the next, longer one.
+        observed.failures = FAILURES_TO_EJECT - 1
+
+    def is_ejected(self, member):
+        """Whether a member is ejected at this moment."""
+        observed = self._observed.get(member)
+        return observed is not None and self._clock() < observed.ejected_until
+
+    def load_factor(self, member):
+        """Return the factor for a member's load; it falls to 1 after an ejection."""
+        observed = self._observed.get(member)
+        if observed is None:
             return 1.0
-        back = (self._clock() - seen.out_until) / RETURN_SECONDS
-        return max(1.0, RETURN_BURDEN - (RETURN_BURDEN - 1) * min(1.0, back))
+        recovered = (self._clock() - observed.ejected_until) / RECOVERY_SECONDS
+        return max(
+            1.0,
+            RECOVERY_LOAD_FACTOR - (RECOVERY_LOAD_FACTOR - 1) * min(1.0, recovered),
+        )
 
     def usable(self, members):
-        """Return those that are not left out, but never less than the share.
+        """Return the members that are not ejected, or all if too many are ejected.
 
         Parameters
         ----------
         members : list of Member
             Servers of one service.
         """
-        kept = [m for m in members if not self.is_out(m.id)]
-        least = len(members) - int(len(members) * EJECTED_SHARE)
+        kept = [m for m in members if not self.is_ejected(m.id)]
+        least = len(members) - int(len(members) * MAX_EJECTED_SHARE)
         return kept if len(kept) >= least else members
--- a/guavastream/routing/outcomes.py
+++ b/guavastream/routing/outcomes.py
@@ -1,13 +1,13 @@
-"""Whether a request ran, and every way in which it can be refused."""
+"""Defines all refusals of requests and whether the request ran."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
-__all__ = ["REFUSALS", "Ran", "Refused", "Refusal", "refusals_page"]
+__all__ = ["REFUSALS", "RunStatus", "Refused", "Refusal", "refusals_page"]
 
 
-class Ran(StrEnum):
-    """What is known about whether a request ran at the backend server."""
+class RunStatus(StrEnum):
+    """Whether a request ran at the backend server, as far as is known."""
 
     NOT_RUN = "not run"
     UNKNOWN = "outcome unknown"
@@ -16,38 +16,45 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Refusal:
-    """One kind of final answer that is not the backend server's own."""
+    """A kind of final answer that does not come from the backend server.
+
+    `retry_after` is in seconds, 0 for none. `retryable` says that another attempt may
+    succeed.
+    """
 
     code: str
     status: int
-    ran: Ran
+    ran: RunStatus
     text: str
     retry_after: int = 0
-    elsewhere: bool = False
+    retryable: bool = False
 
 
-def _not_run(code, status, text, retry_after=0, elsewhere=False):
+def _not_run(code, status, text, retry_after=0, retryable=False):
     return Refusal(
         code=code,
         status=status,
-        ran=Ran.NOT_RUN,
+        ran=RunStatus.NOT_RUN,
         text=text,
         retry_after=retry_after,
-        elsewhere=elsewhere,
+        retryable=retryable,
     )
 
 
 def _unknown(code, status, text, retry_after=0):
     return Refusal(
-        code=code, status=status, ran=Ran.UNKNOWN, text=text, retry_after=retry_after
+        code=code,
+        status=status,
+        ran=RunStatus.UNKNOWN,
+        text=text,
+        retry_after=retry_after,
     )
 
 
-def _ran(code, status, text):
-    return Refusal(code=code, status=status, ran=Ran.ANSWERED, text=text)
+def _answered(code, status, text):
+    return Refusal(code=code, status=status, ran=RunStatus.ANSWERED, text=text)
 
 
-# `elsewhere` marks refusals after which another attempt may fare better.
 REFUSALS = {
     refusal.code: refusal
     for refusal in (
@@ -74,22 +81,24 @@
         _unknown("answer_lost", 502, "The connection broke before an answer."),
         _unknown("wrong_answer", 502, "The answer belonged to another request."),
         _unknown("still_running", 409, "The same request is still running.", 1),
-        _ran("answer_not_kept", 409, "It ran; its answer was too large to be kept."),
+        _answered(
+            "answer_not_kept", 409, "It ran; its answer was too large to be kept."
+        ),
         _unknown("earlier_unknown", 409, "Whether the first attempt ran is not known."),
     )
 }
 
 
 class Refused(Exception):
-    """Ends an attempt with a refusal.
+    """Ends an attempt with one of the `REFUSALS`.
 
     Parameters
     ----------
     code : str
         A key of `REFUSALS`.
     confirmed : bool
-        Whether the owner's outcomes were asked, so that "not run" holds for
-        every earlier sending of the same operation too.
+        Whether the owner's record of outcomes was checked, so that "not run" holds
+        for every earlier attempt of the same operation as well.
     """
 
     def __init__(self, code, *, confirmed=False):
@@ -97,20 +106,20 @@
         self.confirmed = confirmed
         super().__init__(code)
 
-    def told_ran(self, operation):
-        """Return what to tell the caller of a request.
+    def reported_run_status(self, operation):
+        """Return the run status to report to the caller of a request.
 
-        A resend that is refused on its way says nothing about the sendings
-        before it. "Not run" would make its caller post the swap anew under
-        another id, though the first sending ran.
+        A retry that is refused on the way to the owner says nothing about earlier
+        attempts. Reporting "not run" would make the caller submit the operation again
+        under a new id, although the first attempt may have run.
         """
-        if operation and self.refusal.ran is Ran.NOT_RUN and not self.confirmed:
-            return Ran.UNKNOWN
+        if operation and self.refusal.ran is RunStatus.NOT_RUN and not self.confirmed:
+            return RunStatus.UNKNOWN
         return self.refusal.ran
 
 
 def refusals_page():
-    """Return the table of docs/errors.md, made from `REFUSALS`."""
+    """Return the table of `REFUSALS` for docs/errors.md in Markdown."""
     lines = ["| code | status | ran | meaning |", "| --- | --- | --- | --- |"]
     for refusal in REFUSALS.values():
         lines.append(
--- a/guavastream/web/peer.py
+++ b/guavastream/web/peer.py
@@ -1,6 +1,6 @@
 """What an answer of another process of the system says."""
 
-from guavastream.routing import REFUSALS, Knowledge, Ran, Refused
+from guavastream.routing import REFUSALS, AttemptState, Refused, RunStatus
 from guavastream.web.send import AttemptFailed
 
 __all__ = ["vet_answer"]
@@ -13,7 +13,7 @@
     ----------
     answer : Answer
         As it came from a door.
-    request : Classified
+    request : ClassifiedRequest
         What it should answer.
 
     Raises
@@ -26,10 +26,10 @@
     code = answer.header("Guavastream-Code")
     if code in REFUSALS:
         answer.finish(whole=False)
-        if REFUSALS[code].ran is Ran.NOT_RUN:
+        if REFUSALS[code].ran is RunStatus.NOT_RUN:
             raise Refused(code, confirmed=answer.header("Guavastream-Ran") == "no")
-        raise AttemptFailed(Knowledge.SENT, code)
+        raise AttemptFailed(AttemptState.SENT, code)
     if answer.header("Guavastream-Request-Id") != request.id:
         answer.finish(whole=False)
-        raise AttemptFailed(Knowledge.SENT, "wrong_answer")
+        raise AttemptFailed(AttemptState.SENT, "wrong_answer")
     return answer
--- a/guavastream/web/send.py
+++ b/guavastream/web/send.py
@@ -8,7 +8,7 @@
 import time
 
 from guavastream.kernel import parse_address
-from guavastream.routing import Knowledge
+from guavastream.routing import AttemptState
 from guavastream.web.serve import CHUNK_BYTES
 
 __all__ = ["Answer", "AttemptFailed", "BodyFailed", "HttpSender"]
@@ -48,7 +48,7 @@
 
     Parameters
     ----------
-    knowledge : Knowledge
+    knowledge : AttemptState
         How far it is known to have come.
     code : str
         Refusal for the caller if it was the last attempt.
@@ -256,10 +256,10 @@
                     self._left -= len(data)
                 yield data
             if self._left:
-                raise AttemptFailed(Knowledge.SENT, "answer_lost")
+                raise AttemptFailed(AttemptState.SENT, "answer_lost")
             whole = True
         except (http.client.HTTPException, OSError) as error:
-            raise AttemptFailed(Knowledge.SENT, "answer_lost") from error
+            raise AttemptFailed(AttemptState.SENT, "answer_lost") from error
         finally:
             self.finish(whole=whole)
 
@@ -361,7 +361,7 @@
         try:
             return connection.prepare(seconds)
         except OSError as error:
-            raise AttemptFailed(Knowledge.NOT_SENT, "unreachable") from error
+            raise AttemptFailed(AttemptState.NOT_SENT, "unreachable") from error
 
     def _exchange(self, connection, method, target, headers, body, seconds, patience):
         try:
@@ -372,9 +372,9 @@
                 pass
             return connection.receive(patience)
         except TimeoutError as error:
-            raise AttemptFailed(Knowledge.SENT, "no_answer") from error
+            raise AttemptFailed(AttemptState.SENT, "no_answer") from error
         except (http.client.HTTPException, OSError) as error:
-            raise AttemptFailed(Knowledge.SENT, "answer_lost") from error
+            raise AttemptFailed(AttemptState.SENT, "answer_lost") from error
 
     def _distrust(self, address):
         """Keep no idle connection to an address that has not answered.
