--- a/guavastream/cli.py
+++ b/guavastream/cli.py
@@ -1,4 +1,4 @@
-"""The one command: the daemon, the operators' tools, stand-ins and benches."""
+"""The `guavastream` command: daemon, operator tools, stand-in servers, benchmarks."""
 
 import argparse
 import sys
@@ -12,9 +12,9 @@
 EXIT_BAD_INPUT = 2
 EXIT_CONFLICT = 3
 EXIT_UNREACHABLE = 4
-EXIT_BROKEN_PROMISE = 5
+EXIT_GUARANTEE_VIOLATED = 5
 
-LONG_RUNNING = ("run", "standin")
+LONG_RUNNING_COMMANDS = ("run", "standin")
 
 EXIT_HELP = """\
 exit status: 0 done, 1 failed, 2 bad input, 3 conflict or refused change,
@@ -27,7 +27,7 @@
     Parameters
     ----------
     names : tuple of str, optional
-        Subcommands to load; all by default.
+        Subcommands to load; by default all.
     """
     from guavastream.commands import add_commands, load_commands
 
@@ -46,8 +46,10 @@
 def main(argv=None):
     """Run the command and return its exit status."""
     argv = sys.argv[1:] if argv is None else argv
-    # The daemon must not carry the memory of every other subcommand.
-    parser = make_parser(LONG_RUNNING if argv[:1] and argv[0] in LONG_RUNNING else None)
+    # Long-running processes load only their own subcommands, to save memory.
+    parser = make_parser(
+        LONG_RUNNING_COMMANDS if argv[:1] and argv[0] in LONG_RUNNING_COMMANDS else None
+    )
     arguments = parser.parse_args(argv)
     try:
         return arguments.run(arguments) or EXIT_OK
--- a/guavastream/commands/processes.py
+++ b/guavastream/commands/processes.py
@@ -8,7 +8,7 @@
     configure_logs,
     load_settings,
 )
-from guavastream.slim import leave_out_tls
+from guavastream.slim import disable_ssl_import
 
 __all__ = []
 
@@ -26,7 +26,7 @@
 
 def _run(arguments):
     settings = load_settings(vars(arguments))
-    leave_out_tls()
+    disable_ssl_import()
     import asyncio
 
     from guavastream.daemon import run_node
--- a/guavastream/control/watching.py
+++ b/guavastream/control/watching.py
@@ -3,7 +3,7 @@
 import math
 
 from guavastream.leases.messages import Watch, WatchAnswer
-from guavastream.messages import PartShelf, ReadPart
+from guavastream.messages import LargeAnswerCache, ReadPart
 
 __all__ = ["WATCH_MESSAGES", "WatchService"]
 
@@ -29,7 +29,7 @@
         self._raft = raft
         self._machine = machine
         self._clock = clock
-        self._parts = PartShelf(clock=clock)
+        self._parts = LargeAnswerCache(clock=clock)
 
     async def answer(
         self, request, *, hosts=lambda: (), staleness_delay=lambda: math.inf
@@ -76,4 +76,4 @@
 
     def split_answer(self, answer):
         """Return an answer as sent: a large one is compressed and read in parts."""
-        return self._parts.cut(answer)
+        return self._parts.split(answer)
--- a/guavastream/exception.py
+++ b/guavastream/exception.py
@@ -1,4 +1,4 @@
-"""Every error of the package, below one root, each with a stable code."""
+"""The exceptions of the package, each with a stable error code."""
 
 from dataclasses import dataclass
 
@@ -17,12 +17,12 @@
 
 
 class GuavastreamError(Exception):
-    """Root of the package's errors.
+    """Base class of all exceptions of the package.
 
     Attributes
     ----------
     code : str
-        Stable name for programs; documented in docs/errors.md.
+        Stable, machine-readable error code; see docs/errors.md.
     """
 
     code = "internal"
@@ -30,16 +30,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Finding:
-    """One thing wrong with an input, and where it stands.
+    """One problem of an input and its place.
 
     Parameters
     ----------
     place : str
         A flag, an environment variable, or a file and table.
     code : str
-        Stable name of the kind of mistake.
+        Stable, machine-readable code of the kind of problem.
     text : str
-        One sentence for people.
+        Human-readable description in one sentence.
 
     Examples
     --------
@@ -56,7 +56,7 @@
 
 
 class FindingsError(GuavastreamError):
-    """All findings about one input, reported together."""
+    """An input is invalid; reports all findings together."""
 
     code = "bad_input"
 
@@ -66,19 +66,27 @@
 
 
 class BadMessage(GuavastreamError):
-    """A message from a peer that cannot be read."""
+    """A message from a peer cannot be decoded."""
 
     code = "bad_message"
 
 
 class CallTimeout(GuavastreamError):
-    """A peer did not answer in time; whether it acted is unknown."""
+    """A peer did not answer in time. It may still have handled the request."""
 
     code = "peer_timeout"
 
 
 class PeerFailure(GuavastreamError):
-    """A peer answered that it failed."""
+    """A peer failed to handle a request.
+
+    Parameters
+    ----------
+    text : str
+        Error text of the peer.
+    code : str
+        Error code of the peer.
+    """
 
     def __init__(self, text, *, code="peer_failure"):
         self.code = code
@@ -86,12 +94,12 @@
 
 
 class NotLeader(GuavastreamError):
-    """This control host does not lead; `leader` may name who does.
+    """This control host is not the leader.
 
     Parameters
     ----------
     leader : str
-        Peer address of the leader as last known, or an empty string.
+        Last known peer address of the leader, or an empty string.
     """
 
     code = "not_leader"
@@ -102,26 +110,26 @@
 
 
 class NotReady(GuavastreamError):
-    """The process is not yet, or no longer, able to act."""
+    """The process cannot handle the request yet, or not any more."""
 
     code = "not_ready"
 
 
 class ConflictError(GuavastreamError):
-    """A change lost against another with the same expected revision."""
+    """Another change with the same expected revision was applied first."""
 
     code = "conflict"
 
 
 class DamagedLog(GuavastreamError):
-    """The control log is damaged before its tail; the voter must not vote.
+    """The control log is damaged before its last record; the voter must not vote.
 
     Parameters
     ----------
     path : str
         The damaged file.
     offset : int
-        Bytes from the start of the file to the damaged record.
+        Position of the damaged record in the file, in bytes.
     """
 
     code = "log_damaged"
--- a/guavastream/hosts/server_host.py
+++ b/guavastream/hosts/server_host.py
@@ -20,7 +20,7 @@
 )
 from guavastream.leases import ControlClient
 from guavastream.leases.messages import Watch
-from guavastream.messages import RelayDesk, RelayingTransport
+from guavastream.messages import RelayingTransport, RelayService
 from guavastream.messages.zmq_transport import ZmqNetwork
 from guavastream.relay import (
     CLOSING_RESPONSE,
@@ -199,7 +199,7 @@
             farewell=CLOSING_RESPONSE,
             note_cut=lambda cut: self._note_cut("host", cut),
         )
-        desk = RelayDesk(
+        desk = RelayService(
             transport=self._transport,
             targets=lambda: self._control.addresses,
             count=self.counters.count,
--- a/guavastream/hosts/tests/test_cut_off.py
+++ b/guavastream/hosts/tests/test_cut_off.py
@@ -15,7 +15,12 @@
 from guavastream.fleet import FleetStateCodec, Heartbeat
 from guavastream.hosts.book_follower import BookFollower
 from guavastream.leases import ControlClient, Watch
-from guavastream.messages import RelayDesk, Relayed, RelayingTransport, encode_message
+from guavastream.messages import (
+    RelayedCall,
+    RelayingTransport,
+    RelayService,
+    encode_message,
+)
 from guavastream.replica import TableHolder
 
 CUT, OTHER, THIRD = "10.1.0.1:1", "10.1.0.2:1", "10.1.0.3:1"
@@ -40,7 +45,9 @@
             rng=random.Random(address),
         )
         self.control = ControlClient(transport=self.transport, addresses=core.addresses)
-        self.desk = RelayDesk(transport=self.transport, targets=lambda: core.addresses)
+        self.desk = RelayService(
+            transport=self.transport, targets=lambda: core.addresses
+        )
         core.network.serve(address, self._serve)
         self.books = TableHolder(codec=FleetStateCodec())
         follower = BookFollower(
@@ -154,7 +161,7 @@
     async def main():
         core, (_, other, _) = await start(tmp_path)
         tag, body = encode_message(Watch(index=0, wait=0.0))
-        asked = Relayed(to=THIRD, tag=tag, body=body, seconds=0.5)
+        asked = RelayedCall(to=THIRD, tag=tag, body=body, seconds=0.5)
         with pytest.raises(PeerFailure):
             await core.network.transport(CUT).call(OTHER, asked, timeout=1.0)
 
--- a/guavastream/http1/tests/test_no_answer_missing.py
+++ b/guavastream/http1/tests/test_no_answer_missing.py
@@ -7,7 +7,7 @@
 
 from guavastream.emulator import run_stalling
 from guavastream.http1 import BodyStream, Client, CutOff, Limits, Server
-from guavastream.kernel import EagerSelector
+from guavastream.kernel import ThrottledSelector
 
 IDLE_SECONDS = 5.0
 GET = b"GET /x HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -105,7 +105,7 @@
             loop.call_soon(lambda: None)
             assert (await caller.read())[0].startswith(OK)
 
-    play(scenario, selector=EagerSelector())
+    play(scenario, selector=ThrottledSelector())
 
 
 def test_a_request_is_served_that_waits_unread_as_its_server_closes():
--- a/guavastream/kernel/__init__.py
+++ b/guavastream/kernel/__init__.py
@@ -1,4 +1,4 @@
-"""What every part stands on: registries, settings, logs, metrics, checks."""
+"""Shared basics: registries, settings, logs, metrics, validation, event loop."""
 
 from guavastream.kernel.checks import *
 from guavastream.kernel.clocks import *
--- a/guavastream/kernel/checks.py
+++ b/guavastream/kernel/checks.py
@@ -1,4 +1,4 @@
-"""Check raw tables against frozen data classes and collect every finding."""
+"""Validation of raw values against data classes, with all findings at once."""
 
 import dataclasses
 
@@ -10,25 +10,25 @@
 
 
 def check_fields(cls, raw, *, place, strict=True, names=None):
-    """Build `cls` from `raw`, field by field.
+    """Validate raw values and build an instance of a data class from them.
 
     Parameters
     ----------
     cls : type
-        A frozen data class.
+        The data class.
     raw : dict
-        Values by field name, as read from a file, flags or variables.
+        Values by field name, as read from a file, flags or environment variables.
     place : callable
-        Gives the place of a field, for findings.
+        Returns the place of a field by its name, for findings.
     strict : bool
-        False lets strings stand for numbers and booleans.
+        Whether numbers and booleans given as strings are refused.
     names : set of str, optional
-        Further names that are allowed in `raw` and left alone.
+        Further names that are allowed in `raw` and ignored.
 
     Returns
     -------
     tuple
-        The instance, or None if there is a finding, and the findings.
+        The instance, or None if there are findings, and the list of findings.
 
     Examples
     --------
@@ -67,12 +67,12 @@
 
 
 def parse_address(text):
-    """Split an `IP:PORT` text.
+    """Split an address `IP:PORT` into its host and port.
 
     Raises
     ------
     ValueError
-        If the text is not an IP number and a port.
+        If the text is not an IP address and a port.
 
     Examples
     --------
@@ -84,5 +84,5 @@
     host, _, port = text.rpartition(":")
     ipaddress.ip_address(host.strip("[]"))
     if not 0 <= int(port) <= 65535:
-        raise ValueError(f"{port} is not a port")
+        raise ValueError(f"{port} is not a valid port")
     return host.strip("[]"), int(port)
--- a/guavastream/kernel/clocks.py
+++ b/guavastream/kernel/clocks.py
@@ -1,4 +1,4 @@
-"""Steady time that also runs while a host is suspended."""
+"""A monotonic clock that also runs while the host is suspended."""
 
 import time
 
@@ -6,10 +6,10 @@
 
 
 def steady_time():
-    """Return seconds of a clock that never jumps and never stops.
+    """Return the time in seconds since boot, including time spent suspended.
 
-    A host that was suspended must find its leases run out; the monotonic
-    clock of the loop does not count that time.
+    Leases must expire while a host is suspended. The monotonic clock of the event
+    loop does not count that time.
 
     Examples
     --------
--- a/guavastream/kernel/counters.py
+++ b/guavastream/kernel/counters.py
@@ -1,15 +1,15 @@
-"""Counters and histograms of one process, served as text."""
+"""Counters, gauges and histograms of one process, in text format."""
 
 from bisect import bisect_left
 
 __all__ = ["Counters"]
 
-# Upper bounds of the histogram's buckets, seconds.
-BOUNDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5)
+# Upper bounds of the histogram buckets.
+BUCKET_BOUNDS_SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5)
 
 
 class Counters:
-    """Counts events by name and durations by bucket.
+    """Counts events by name, holds gauges, and counts durations in buckets.
 
     Examples
     --------
@@ -27,23 +27,26 @@
         self._durations = {}
 
     def count(self, name, number=1):
-        """Count an event."""
+        """Count `number` events called `name`."""
         self._events[name] = self._events.get(name, 0) + number
 
     def set(self, name, value):
-        """Set a gauge."""
+        """Set the gauge called `name`."""
         self._gauges[name] = value
 
     def observe(self, name, seconds):
-        """Count a duration."""
-        known = self._durations.get(name)
-        if known is None:
-            known = self._durations[name] = [[0] * (len(BOUNDS) + 1), 0.0]
-        known[0][bisect_left(BOUNDS, seconds)] += 1
-        known[1] += seconds
+        """Add a duration to the histogram called `name`."""
+        histogram = self._durations.get(name)
+        if histogram is None:
+            histogram = self._durations[name] = [
+                [0] * (len(BUCKET_BOUNDS_SECONDS) + 1),
+                0.0,
+            ]
+        histogram[0][bisect_left(BUCKET_BOUNDS_SECONDS, seconds)] += 1
+        histogram[1] += seconds
 
     def text(self):
-        """Return all values in the usual text format."""
+        """Return all values in the Prometheus text format."""
         lines = [
             f'guavastream_events_total{{event="{name}"}} {value}'
             for name, value in sorted(self._events.items())
@@ -53,11 +56,13 @@
             for name, value in sorted(self._gauges.items())
         ]
         for name, (buckets, total) in sorted(self._durations.items()):
-            seen = 0
-            for bound, number in zip((*BOUNDS, "+Inf"), buckets, strict=True):
-                seen += number
+            cumulative = 0
+            for bound, number in zip(
+                (*BUCKET_BOUNDS_SECONDS, "+Inf"), buckets, strict=True
+            ):
+                cumulative += number
                 label = f'{{name="{name}",le="{bound}"}}'
-                lines.append(f"guavastream_seconds_bucket{label} {seen}")
+                lines.append(f"guavastream_seconds_bucket{label} {cumulative}")
             lines.append(f'guavastream_seconds_sum{{name="{name}"}} {total:.6f}')
-            lines.append(f'guavastream_seconds_count{{name="{name}"}} {seen}')
+            lines.append(f'guavastream_seconds_count{{name="{name}"}} {cumulative}')
         return "\n".join(lines) + "\n"
--- a/guavastream/kernel/hybrid.py
+++ b/guavastream/kernel/hybrid.py
@@ -1,4 +1,4 @@
-"""Hybrid logical clock that orders the events of all processes causally."""
+"""A hybrid logical clock, which orders events of all processes causally."""
 
 import threading
 import time
@@ -9,17 +9,17 @@
 
 
 class HybridClock:
-    """Clock close to wall time that never runs back and follows its peers.
+    """Clock close to wall time that never goes back nor falls behind its peers.
 
     Parameters
     ----------
     wall : callable, optional
-        Gives wall time in nanoseconds.
+        Returns the wall time in nanoseconds.
 
     Notes
     -----
-    A stamp is an integer: microseconds since the epoch, shifted by 12 bits
-    for the logical counter. Both calls cost O(1).
+    A stamp is an integer: microseconds since the epoch, shifted left by 12 bits to
+    make room for the logical counter. Both methods run in O(1).
 
     References
     ----------
@@ -41,13 +41,13 @@
         self._lock = threading.Lock()
 
     def stamp(self):
-        """Return a stamp later than every one given or observed before."""
+        """Return a stamp later than all returned or observed before."""
         now = (self._wall() // 1000) << LOGICAL_BITS
         with self._lock:
             self._last = max(self._last + 1, now)
             return self._last
 
     def observe(self, stamp):
-        """Take note of a stamp that came with a peer's message."""
+        """Advance the clock to a stamp received from a peer, if that is later."""
         with self._lock:
             self._last = max(self._last, stamp)
--- a/guavastream/kernel/listening.py
+++ b/guavastream/kernel/listening.py
@@ -1,4 +1,4 @@
-"""Stop a listening socket from taking connections, without cutting any."""
+"""Make a listening socket ignore new connections without resetting any."""
 
 import array
 import socket
@@ -14,21 +14,22 @@
 RETURN = 0x06
 FLAGS_OFFSET = 13
 SYN = 0x02
-SYN_AND_ACK = 0x12
-WHOLE_PACKET = 0xFFFFFFFF
+SYN_ACK_MASK = 0x12
+ACCEPT_PACKET = 0xFFFFFFFF
 
-# Each instruction: code, jump if true, jump if false, operand.
-PROGRAM = (
+# Instructions: opcode, jump if true, jump if false, operand. Returning 0 drops the
+# packet.
+SYN_FILTER = (
     (LOAD_BYTE, 0, 0, FLAGS_OFFSET),
-    (AND, 0, 0, SYN_AND_ACK),
+    (AND, 0, 0, SYN_ACK_MASK),
     (JUMP_IF_EQUAL, 0, 1, SYN),
     (RETURN, 0, 0, 0),
-    (RETURN, 0, 0, WHOLE_PACKET),
+    (RETURN, 0, 0, ACCEPT_PACKET),
 )
 
 
 def drop_new_connections(listener):
-    """Drop the first packet of each new connection to a listening socket.
+    """Drop the SYN packet of each new connection to a listening socket.
 
     Parameters
     ----------
@@ -37,17 +38,17 @@
 
     Notes
     -----
-    A classic packet filter drops segments with SYN and without ACK. The
-    other end sends them again after a second; by then the socket is closed
-    and it is refused. Handshakes that have begun are completed.
+    A classic BPF filter drops segments with SYN and without ACK. The client sends
+    them again after one second; by then the socket is closed, and the connection is
+    refused. Handshakes that have already started are completed.
 
     References
     ----------
     .. [1] S. McCanne and V. Jacobson, "The BSD Packet Filter", USENIX Winter
        1993; socket(7), SO_ATTACH_FILTER.
     """
-    code = b"".join(struct.pack("HBBI", *step) for step in PROGRAM)
+    code = b"".join(struct.pack("HBBI", *instruction) for instruction in SYN_FILTER)
     buffer = array.array("B", code)
     address, _ = buffer.buffer_info()
-    program = struct.pack("HP", len(PROGRAM), address)
+    program = struct.pack("HP", len(SYN_FILTER), address)
     listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, program)
--- a/guavastream/kernel/logs.py
+++ b/guavastream/kernel/logs.py
@@ -1,17 +1,17 @@
-"""Structured logs: short sentences with a fixed prefix for each part."""
+"""Structured logs, with the name of the part as a prefix of each message."""
 
 import logging
 import sys
 
 __all__ = ["configure_logs", "part_logger"]
 
-ROOT = "guavastream"
+ROOT_LOGGER = "guavastream"
 
 
 class _PartAdapter(logging.LoggerAdapter):
     def isEnabledFor(self, level):  # noqa: N802
-        # A line that would be dropped is not even made: in a storm of refusals
-        # that is most of them, and making one costs as much as a refusal.
+        # Do not create records that a handler would drop. Under overload most lines
+        # are dropped, and creating one costs as much as refusing a request.
         if not self.logger.isEnabledFor(level):
             return False
         return all(
@@ -27,12 +27,12 @@
 
 
 def part_logger(part):
-    """Return the logger of one part; its messages start with the part's name."""
-    return _PartAdapter(logging.getLogger(ROOT), {"part": part})
+    """Return the logger of a part, which prefixes messages with the part's name."""
+    return _PartAdapter(logging.getLogger(ROOT_LOGGER), {"part": part})
 
 
 def configure_logs(*, level, host):
-    """Write JSON lines to standard error, each with the host's name."""
+    """Log JSON lines with the name of the host to standard error."""
     from pythonjsonlogger.json import JsonFormatter
 
     handler = logging.StreamHandler(sys.stderr)
@@ -41,7 +41,7 @@
             "%(asctime)s %(levelname)s %(message)s", static_fields={"host": host}
         )
     )
-    logger = logging.getLogger(ROOT)
+    logger = logging.getLogger(ROOT_LOGGER)
     logger.handlers[:] = [handler]
     logger.setLevel(level)
     logger.propagate = False
--- a/guavastream/kernel/loops.py
+++ b/guavastream/kernel/loops.py
@@ -1,52 +1,52 @@
-"""An event loop that asks the system for news only when it has nothing to do."""
+"""An event loop that polls its sockets less often while callbacks are ready."""
 
 import asyncio
 import selectors
 import time
 
-__all__ = ["EagerSelector", "new_event_loop"]
+__all__ = ["ThrottledSelector", "new_event_loop"]
 
-# Rounds of ready callbacks that may run before the system is asked again. A
-# request takes three or four at each process that it passes.
-MOST_ROUNDS = 8
-# Longest time without a look at sockets, seconds. Timers run without one: after a
-# standstill they would end what has been answered, and waits unread.
-LONGEST_SECONDS = 0.002
+# Loop iterations that may run without polling. A request takes three or four in each
+# process on its path.
+MAX_SKIPPED_POLLS = 8
+# Longest time without polling. Timers run even if polling is skipped: after the process
+# was stalled they would time out requests whose answers have arrived but are unread.
+MAX_POLL_INTERVAL_SECONDS = 0.002
 
 
-class EagerSelector(selectors.DefaultSelector):
-    """Skips the look at sockets while callbacks are ready to run.
+class ThrottledSelector(selectors.DefaultSelector):
+    """Selector that skips polls while callbacks are ready to run.
 
-    The loop asks for news before each round of callbacks, also if some are
-    ready already. A request passes a process in several rounds, since each
-    task that is woken runs in the next one: of the system calls of a process,
-    half were such looks that found nothing. Every `MOST_ROUNDS` rounds it
-    looks all the same, so that no socket waits behind busy callbacks, and whenever
-    the last look is longer ago than `LONGEST_SECONDS`.
+    By default the loop polls its sockets before each iteration, even if callbacks are
+    ready. A request takes several iterations, since a task that is woken runs in the
+    next one, and half of the system calls of a process were polls that found
+    nothing. The selector still polls after `MAX_SKIPPED_POLLS` skipped polls, so that
+    ready callbacks do not starve sockets, and whenever the last poll was at least
+    `MAX_POLL_INTERVAL_SECONDS` ago.
 
     Parameters
     ----------
     clock : callable, optional
-        Steady time in seconds.
+        Monotonic time in seconds.
     """
 
     def __init__(self, *, clock=time.monotonic):
         super().__init__()
         self._clock = clock
-        self._rounds = 0
-        self._looked_at = float("-inf")
+        self._skipped_polls = 0
+        self._polled_at = float("-inf")
 
     def select(self, timeout=None):
-        recent = self._clock() - self._looked_at < LONGEST_SECONDS
-        if timeout == 0 and recent and self._rounds < MOST_ROUNDS:
-            self._rounds += 1
+        recent = self._clock() - self._polled_at < MAX_POLL_INTERVAL_SECONDS
+        if timeout == 0 and recent and self._skipped_polls < MAX_SKIPPED_POLLS:
+            self._skipped_polls += 1
             return []
         events = super().select(timeout)
-        self._rounds = 0
-        self._looked_at = self._clock()
+        self._skipped_polls = 0
+        self._polled_at = self._clock()
         return events
 
 
 def new_event_loop():
-    """Return an event loop on an `EagerSelector`."""
-    return asyncio.SelectorEventLoop(EagerSelector())
+    """Return an event loop that uses a `ThrottledSelector`."""
+    return asyncio.SelectorEventLoop(ThrottledSelector())
--- a/guavastream/kernel/metrics.py
+++ b/guavastream/kernel/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by statsd; nothing is sent unless a server is set."""
+"""Metrics sent to a statsd server, if one is configured."""
 
 from guavastream.kernel.checks import parse_address
 
@@ -19,17 +19,17 @@
 
 class _NoMetrics:
     def incr(self, stat, count=1):
-        """Drop a counter."""
+        """Discard a counter."""
 
     def timing(self, stat, delta):
-        """Drop a timing."""
+        """Discard a timing."""
 
     def gauge(self, stat, value):
-        """Drop a gauge."""
+        """Discard a gauge."""
 
 
 def make_metrics(address):
-    """Return a statsd client for `address`, or one that drops everything."""
+    """Return a statsd client for `address`, or one that discards all metrics."""
     if not address:
         return _NoMetrics()
     import statsd
@@ -39,7 +39,7 @@
 
 
 def metrics_page():
-    """Return docs/metrics.md, made from the table of metrics."""
+    """Return the text of docs/metrics.md, generated from `METRICS`."""
     lines = [
         "# Metrics",
         "",
--- a/guavastream/kernel/policy.py
+++ b/guavastream/kernel/policy.py
@@ -1,4 +1,4 @@
-"""Which mechanisms decide about requests and keys, each with a switch."""
+"""Switches for the mechanisms that schedule requests and place keys."""
 
 import dataclasses
 from dataclasses import dataclass
@@ -8,57 +8,62 @@
 __all__ = ["POLICY_VARIABLE", "Policy"]
 
 POLICY_VARIABLE = "GUAVASTREAM_POLICY"
-# How the text of a value is read, by the type of its field.
-READERS = {bool: {"on": True, "off": False}.__getitem__, float: float}
+# Parsers of a switch's value by the type of its field.
+VALUE_PARSERS = {bool: {"on": True, "off": False}.__getitem__, float: float}
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Policy:
-    """Mechanisms that are in force; all are, unless one is switched off.
+    """The mechanisms that are enabled. All are, unless one is switched off.
 
-    The switches are there to measure what a mechanism is worth on a
-    deployment. docs/decisions.md has the figures.
+    The switches serve to measure what each mechanism contributes on a deployment.
+    docs/decisions.md lists the results.
 
     Parameters
     ----------
     returns : bool
-        Callers that come back are recognized and go before new ones.
+        Recognize callers that retry a request and serve them before new ones.
     near : bool
-        Requests stay in their availability zone where that is fast enough.
+        Prefer the server on the same host, then servers in the same availability
+        zone, if they are fast enough.
     kinds : bool
-        Servers are judged by the times of one kind of request.
+        Estimate the response time of a server for each kind of request separately.
     silence : bool
-        A server that answers nothing is expected to go on so.
+        Expect a server that has stopped answering to stay unresponsive for as long
+        again as it has been so far.
     sampled : bool
-        Of many servers a few are weighed for a request.
+        Compare only a sample of the servers if a service has many.
     burden : bool
-        Servers that fail requests get fewer of them for a while.
+        Send fewer requests for a while to servers that fail requests.
     refusal : bool
-        A request that would be late is refused at once; else it waits.
+        Refuse a request at once if it would be late; otherwise it waits.
     promises : bool
-        Nobody is let in before those who would be late by it.
+        Refuse a request that would make queued requests late by overtaking them.
     late_last : bool
-        Requests that are late already wait behind all others.
+        Queue requests that are already late behind all others.
     standing : bool
-        A queue that is never empty is kept shorter.
+        Keep the queue shorter while it is never empty.
     shares : bool
-        No kind is let in much more often than a more urgent one.
+        Do not admit a much larger share of one kind of request than of a more urgent
+        kind.
     second_tries : bool
-        What a server refused or lost is tried once more where that is safe.
+        Retry once, where that is safe, if a server refused or lost a request.
     owner_waits : bool
-        Requests wait for a key that is about to have an owner.
+        Hold requests for a key that is about to get an owner.
     balance : bool
-        Keys move by load.
+        Move keys to balance the load of the servers.
     hottest : bool
-        A key beyond its server moves to the fastest one.
+        Move a key to the fastest server if its load alone overloads its server.
     areas : bool
-        Rare keys are counted where they lie.
+        Count the load of rarely used keys by area of the key space, not only in total.
     changes : bool
-        A key whose load changes is known by its last moments.
+        Use the most recent rate of a key if its load has changed.
     spare : float
-        Times the usual reserve that a request must have to be let in.
-    late_wait, owner_wait : float
-        Times the usual patience of late requests, and with a missing owner.
+        Factor on the time reserve that a request needs to be admitted.
+    late_wait : float
+        Factor on how long late requests may wait in the queue.
+    owner_wait : float
+        Factor on how long requests wait for the missing owner of a key.
     """
 
     returns: bool = True
@@ -84,12 +89,12 @@
 
     @classmethod
     def parse(cls, text):
-        """Return the policy of a text like ``near=off,kinds=off``.
+        """Parse a policy from a text like ``near=off,kinds=off``.
 
         Raises
         ------
         FindingsError
-            With every part that is not a switch.
+            With a finding for each part that is not a valid switch.
 
         Examples
         --------
@@ -97,17 +102,17 @@
         >>> policy.near, policy.kinds
         (False, True)
         """
-        kinds = {field.name: field.type for field in dataclasses.fields(cls)}
+        types = {field.name: field.type for field in dataclasses.fields(cls)}
         values, findings = {}, []
         for part in filter(None, (part.strip() for part in text.split(","))):
-            name, _, word = part.partition("=")
+            name, _, value = part.partition("=")
             try:
-                values[name] = READERS[kinds[name]](word)
+                values[name] = VALUE_PARSERS[types[name]](value)
             except (KeyError, ValueError):
-                known = ", ".join(sorted(kinds))
-                found = f"{part!r} means nothing; known are {known}: on, off, or times."
+                known = ", ".join(sorted(types))
+                detail = f"{part!r} is invalid; known are {known}: on, off or a factor."
                 findings.append(
-                    Finding(place=POLICY_VARIABLE, code="bad_value", text=found)
+                    Finding(place=POLICY_VARIABLE, code="bad_value", text=detail)
                 )
         if findings:
             raise FindingsError(findings)
--- a/guavastream/kernel/records.py
+++ b/guavastream/kernel/records.py
@@ -1,4 +1,4 @@
-"""Frozen data classes that are made, copied and encoded all the time."""
+"""Frozen data classes that are fast to create, copy and encode."""
 
 import functools
 
@@ -6,29 +6,29 @@
 
 __all__ = ["record", "replace"]
 
-# Of what a class statement leaves behind, these belong to the class itself.
-OWN = ("__annotations__", "__dict__", "__weakref__")
+# Attributes of the original class that must not be copied to the record class.
+SPECIAL_ATTRIBUTES = ("__annotations__", "__dict__", "__weakref__")
 
 replace = msgspec.structs.replace
 
 
 def record(cls=None, *, encoded_names=None):
-    """Make a class a frozen data class with keyword-only fields.
+    """Turn a class into a frozen data class with keyword-only fields.
 
-    It does what ``dataclasses.dataclass(frozen=True, kw_only=True, slots=True)``
-    does, in C: such a class takes 0.05 ms to make in place of 1.4, which is paid
-    for each of some thirty classes at each start of a process, and a copy with
-    `replace` 0.4 us in place of 3. Use it for what is sent, stored or copied often;
-    elsewhere a plain data class reads as well.
+    Equivalent to ``dataclasses.dataclass(frozen=True, kw_only=True, slots=True)``, but
+    implemented in C. Creating a class takes 0.05 instead of 1.4 ms, for each of about
+    thirty classes whenever a process starts, and a copy by `replace` 0.4 instead of
+    3 us. Use it for data that is often sent, stored or copied; elsewhere a plain data
+    class will do.
 
     Parameters
     ----------
     cls : type, optional
-        The class; without it a decorator is returned.
+        The class. A decorator is returned if it is omitted.
     encoded_names : dict, optional
-        Names that fields have when they are encoded, by attribute, where the two
-        differ. An encoded name must stay as it is: stored files and processes of
-        other versions use it.
+        Encoded names of fields by attribute name, where the two differ. An encoded
+        name must never change, since stored files and processes of other versions
+        use it.
 
     Examples
     --------
@@ -51,20 +51,20 @@
     """
     if cls is None:
         return functools.partial(record, encoded_names=encoded_names)
-    names = cls.__dict__.get("__annotations__", {})
+    annotations = cls.__dict__.get("__annotations__", {})
     fields = [
-        (name, kind, cls.__dict__[name]) if name in cls.__dict__ else (name, kind)
-        for name, kind in names.items()
+        (name, type_, cls.__dict__[name]) if name in cls.__dict__ else (name, type_)
+        for name, type_ in annotations.items()
     ]
-    rest = {
+    other_attributes = {
         name: value
         for name, value in cls.__dict__.items()
-        if name not in names and name not in OWN
+        if name not in annotations and name not in SPECIAL_ATTRIBUTES
     }
     return msgspec.defstruct(
         cls.__name__,
         fields,
-        namespace=rest,
+        namespace=other_attributes,
         module=cls.__module__,
         frozen=True,
         kw_only=True,
--- a/guavastream/kernel/registry.py
+++ b/guavastream/kernel/registry.py
@@ -1,15 +1,15 @@
-"""Registries in which plug-ins enter themselves under a name."""
+"""Registries of plug-ins by name."""
 
 __all__ = ["Registry"]
 
 
 class Registry:
-    """Plug-ins of one kind, by name.
+    """Registry of plug-ins of one kind.
 
     Parameters
     ----------
     kind : str
-        What the plug-ins are, for messages.
+        Kind of the plug-ins, for error messages.
 
     Examples
     --------
@@ -27,25 +27,25 @@
 
     @property
     def names(self):
-        """Names of all plug-ins in their order of registration."""
+        """Names of all plug-ins in order of registration."""
         return tuple(self._items)
 
     def register(self, name):
-        """Return a decorator that enters a class under `name`.
+        """Return a decorator that registers a class or function as `name`.
 
         Raises
         ------
         ValueError
-            If the name is taken.
+            If the name is already registered.
         """
 
-        def enter(item):
+        def add(item):
             if name in self._items:
-                raise ValueError(f"{self._kind} {name!r} is registered twice")
+                raise ValueError(f"{self._kind} {name!r} is already registered")
             self._items[name] = item
             return item
 
-        return enter
+        return add
 
     def get(self, name):
         """Return the plug-in called `name`.
@@ -53,10 +53,10 @@
         Raises
         ------
         KeyError
-            If there is none.
+            If there is no such plug-in.
         """
         return self._items[name]
 
     def values(self):
-        """Return all plug-ins in their order of registration."""
+        """Return all plug-ins in order of registration."""
         return tuple(self._items.values())
--- a/guavastream/kernel/roles.py
+++ b/guavastream/kernel/roles.py
@@ -1,4 +1,4 @@
-"""Roles of the daemon; each is a plug-in that registers itself."""
+"""Roles of the daemon, which are plug-ins."""
 
 import abc
 
@@ -10,12 +10,12 @@
 
 
 class Role(abc.ABC):
-    """One thing that a process does.
+    """One of the tasks that a process takes on, depending on its settings.
 
     Parameters
     ----------
     node : Node
-        The process, with all that its roles share.
+        The process, with the state that its roles share.
     """
 
     def __init__(self, *, node):
@@ -24,14 +24,14 @@
     @classmethod
     @abc.abstractmethod
     def wanted(cls, settings):
-        """Whether the settings ask for this role."""
+        """Whether the settings enable this role."""
 
     @abc.abstractmethod
     async def start(self):
-        """Begin to serve."""
+        """Start serving."""
 
     async def drain(self, deadline):
-        """Bring work in progress to its end, until the clock's `deadline`."""
+        """Finish the work in progress, at most until the clock reaches `deadline`."""
 
     async def stop(self):
         """Stop serving."""
--- a/guavastream/kernel/settings.py
+++ b/guavastream/kernel/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the daemon: each a flag and an environment variable."""
+"""Settings of the daemon, read from flags and environment variables."""
 
 import dataclasses
 import os
@@ -10,10 +10,10 @@
 __all__ = ["Settings", "add_flags", "load_settings", "settings_page"]
 
 ENVIRONMENT_PREFIX = "GUAVASTREAM_"
-ADDRESS = "address"
-ADDRESSES = "addresses"
-FOLDER = "folder"
-READABLE = "readable file"
+ADDRESS_CHECK = "address"
+ADDRESS_LIST_CHECK = "addresses"
+FOLDER_CHECK = "folder"
+READABLE_FILE_CHECK = "readable file"
 
 
 def _setting(text, *, default=dataclasses.MISSING, check=None):
@@ -22,38 +22,43 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Settings:
-    """What one process is told at its start."""
+    """Settings of one process, fixed when it starts."""
 
     host: str = _setting("Name of this host, unique in the system.")
     zone: str = _setting("Availability zone of this host.")
-    door: str = _setting("IP:PORT for callers.", check=ADDRESS)
+    door: str = _setting("IP:PORT for callers.", check=ADDRESS_CHECK)
     control: str = _setting(
-        "Peer addresses IP:PORT of all control hosts, by comma.", check=ADDRESSES
+        "Peer addresses IP:PORT of all control hosts, by comma.",
+        check=ADDRESS_LIST_CHECK,
     )
     region: str = _setting("Region of this host.", default="")
     guard: str = _setting(
         "IP:PORT where the backend server of this host announces itself.",
         default="",
-        check=ADDRESS,
+        check=ADDRESS_CHECK,
     )
     data: str = _setting(
-        "Data folder; makes this process a control host.", default="", check=FOLDER
+        "Data folder; makes this process a control host.",
+        default="",
+        check=FOLDER_CHECK,
     )
     peer: str = _setting(
         "IP:PORT for other processes of the system; control hosts need it.",
         default="",
-        check=ADDRESS,
+        check=ADDRESS_CHECK,
     )
-    operator: str = _setting("IP:PORT for operators.", default="", check=ADDRESS)
+    operator: str = _setting("IP:PORT for operators.", default="", check=ADDRESS_CHECK)
     operator_token_file: str = _setting(
-        "File with the operators' token.", default="", check=READABLE
+        "File with the operators' token.", default="", check=READABLE_FILE_CHECK
     )
     insecure: bool = _setting(
         "Serve operators without a token and peers without keys.", default=False
     )
     timeline: str = _setting("File for the events of this process.", default="")
     timeline_mb: int = _setting("Bound of that file, in MB.", default=64)
-    statsd: str = _setting("IP:PORT of a statsd server.", default="", check=ADDRESS)
+    statsd: str = _setting(
+        "IP:PORT of a statsd server.", default="", check=ADDRESS_CHECK
+    )
     log_level: str = _setting("DEBUG, INFO, WARNING or ERROR.", default="INFO")
     lease_ms: int = _setting(
         "Length of a node's lease; the same on every host.", default=500
@@ -65,7 +70,7 @@
 
     @property
     def control_addresses(self):
-        """Peer addresses of the control hosts, a tuple of str."""
+        """Peer addresses of the control hosts, as a tuple of str."""
         return tuple(part.strip() for part in self.control.split(",") if part.strip())
 
 
@@ -78,7 +83,7 @@
 
 
 def add_flags(parser):
-    """Add one flag for each setting to an argparse parser."""
+    """Add a flag for each setting to an argparse parser."""
     for item in dataclasses.fields(Settings):
         text = f"{item.metadata['help']} [{_variable(item.name)}]"
         if item.type is bool:
@@ -90,19 +95,19 @@
 
 
 def load_settings(flags, environ=None):
-    """Read and check all settings; a flag beats its variable.
+    """Read and validate all settings. A flag overrides its environment variable.
 
     Parameters
     ----------
     flags : dict
-        Values by setting name; None where the flag was not given.
+        Values by setting name, None if the flag was not given.
     environ : dict, optional
-        Environment variables; those of the process by default.
+        Environment variables; by default those of the process.
 
     Raises
     ------
     FindingsError
-        With every wrong setting and its place.
+        With a finding for each invalid setting.
 
     Examples
     --------
@@ -127,7 +132,7 @@
     settings, findings = check_fields(Settings, raw, place=place, strict=False)
     findings += _check_values(raw, place)
     if settings is not None:
-        findings += _check_together(settings, place)
+        findings += _check_combinations(settings, place)
     if findings:
         raise FindingsError(findings)
     return settings
@@ -139,7 +144,7 @@
         value = raw.get(item.name)
         check = item.metadata["check"]
         if value and check:
-            problem = _problem_of(value, check)
+            problem = _find_problem(value, check)
             if problem:
                 findings.append(
                     Finding(place=place(item.name), code="bad_value", text=problem)
@@ -147,26 +152,26 @@
     return findings
 
 
-def _problem_of(value, check):
-    if check in (ADDRESS, ADDRESSES):
+def _find_problem(value, check):
+    if check in (ADDRESS_CHECK, ADDRESS_LIST_CHECK):
         try:
-            for part in value.split(",") if check == ADDRESSES else [value]:
+            for part in value.split(",") if check == ADDRESS_LIST_CHECK else [value]:
                 parse_address(part.strip())
         except ValueError as error:
             return f"{value!r} is not an IP:PORT ({error})."
-    elif check == FOLDER:
+    elif check == FOLDER_CHECK:
         try:
             os.makedirs(value, exist_ok=True)
         except OSError as error:
-            return f"{value!r} cannot be made ({error.strerror})."
+            return f"The folder {value!r} cannot be created ({error.strerror})."
         if not os.access(value, os.W_OK):
-            return f"{value!r} cannot be written."
-    elif check == READABLE and not os.access(value, os.R_OK):
-        return f"{value!r} cannot be read."
+            return f"The folder {value!r} is not writable."
+    elif check == READABLE_FILE_CHECK and not os.access(value, os.R_OK):
+        return f"The file {value!r} is not readable."
     return ""
 
 
-def _check_together(settings, place):
+def _check_combinations(settings, place):
     findings = []
     if settings.data and not settings.peer:
         findings.append(
@@ -189,21 +194,21 @@
             Finding(
                 place=place("log_level"),
                 code="bad_value",
-                text=f"{settings.log_level!r} is not a level.",
+                text=f"{settings.log_level!r} is not a log level.",
             )
         )
     for name in ("threads", "timeline_mb", "stop_seconds", "lease_ms"):
         if getattr(settings, name) <= 0:
             findings.append(
                 Finding(
-                    place=place(name), code="bad_value", text="Must be more than 0."
+                    place=place(name), code="bad_value", text="Must be greater than 0."
                 )
             )
     return findings
 
 
 def settings_page():
-    """Return docs/settings.md, made from the settings themselves."""
+    """Return the text of docs/settings.md, generated from `Settings`."""
     lines = [
         "# Settings of `guavastream run`",
         "",
--- a/guavastream/kernel/stdout.py
+++ b/guavastream/kernel/stdout.py
@@ -1,28 +1,31 @@
-"""Logs to standard output that never block and stay bounded."""
+"""Logs to standard output, non-blocking and limited in rate."""
 
 import logging
 import os
 import sys
 import time
 
-__all__ = ["BoundedHandler", "configure_stdout_logs"]
+__all__ = ["RateLimitedHandler", "configure_stdout_logs"]
 
-ROOT = "guavastream"
-# Lines a second that one process writes at most; under load the first ones of
-# each second tell as much as all.
-LINES_PER_SECOND = 60
-# Lines beyond these that are kept for warnings: entries of other writers come by
-# the thousand, and a line for each cost more than to refuse them.
-WARNINGS_PER_SECOND = 60
+ROOT_LOGGER = "guavastream"
+# Most lines that a process writes in a second. Under load the first lines of each
+# second are as informative as all of them.
+MAX_LINES_PER_SECOND = 60
+# Additional lines for warnings. They are limited too: another writer may send thousands
+# of invalid entries, and logging each one costs more than refusing it.
+MAX_EXTRA_WARNINGS_PER_SECOND = 60
 
 
-class BoundedHandler(logging.Handler):
-    """Writes lines to a file descriptor and drops what it does not take.
+class RateLimitedHandler(logging.Handler):
+    """Writes a limited number of lines a second and drops the others.
+
+    Lines are also dropped if the file descriptor does not accept them. The next line
+    that is written has the number of dropped lines in its field `dropped`.
 
     Parameters
     ----------
     fd : int
-        File descriptor; it is made non-blocking.
+        File descriptor to write to; it is set to non-blocking.
     clock : callable
         Monotonic time in seconds.
     """
@@ -37,14 +40,14 @@
         os.set_blocking(fd, False)
 
     def has_room(self, level):
-        """Whether a line of a level would be written now; if not, it counts."""
+        """Whether a line of a level may be written now; if not, count it as dropped."""
         second = int(self._clock())
         if second != self._second:
             self._second, self._lines = second, 0
-        most = LINES_PER_SECOND
+        limit = MAX_LINES_PER_SECOND
         if level >= logging.WARNING:
-            most += WARNINGS_PER_SECOND
-        if self._lines < most:
+            limit += MAX_EXTRA_WARNINGS_PER_SECOND
+        if self._lines < limit:
             return True
         self._dropped += 1
         return False
@@ -58,26 +61,26 @@
         try:
             os.write(self._fd, self.format(record).encode() + b"\n")
         except OSError:
-            # A reader that is slow must not stop requests; the next line that
-            # goes through tells how many are missing.
+            # A slow reader of the log must not block requests. The next line that
+            # is written reports how many were dropped.
             self._dropped += 1
 
 
 def configure_stdout_logs(*, level, host):
-    """Write JSON lines to standard output, each with the host's name."""
+    """Log JSON lines with the name of the host to standard output."""
     from pythonjsonlogger.json import JsonFormatter
 
-    # What the lines do not hold is not looked up: the place in the code, and
-    # the names of process and thread.
+    # Skip look-ups that the format does not use: the source location, and the process
+    # and thread.
     logging._srcfile = None
     logging.logThreads = logging.logProcesses = logging.logMultiprocessing = False
-    handler = BoundedHandler(fd=sys.stdout.fileno())
+    handler = RateLimitedHandler(fd=sys.stdout.fileno())
     handler.setFormatter(
         JsonFormatter(
             "%(asctime)s %(levelname)s %(message)s", static_fields={"host": host}
         )
     )
-    logger = logging.getLogger(ROOT)
+    logger = logging.getLogger(ROOT_LOGGER)
     logger.handlers[:] = [handler]
     logger.setLevel(level)
     logger.propagate = False
--- a/guavastream/kernel/tests/test_loops.py
+++ b/guavastream/kernel/tests/test_loops.py
@@ -1,4 +1,4 @@
-"""The loop looks at its sockets seldom, and soon enough."""
+"""The selector skips polls, but still polls in time."""
 
 import contextlib
 import selectors
@@ -6,36 +6,36 @@
 
 import pytest
 
-from guavastream.kernel import EagerSelector
-from guavastream.kernel.loops import LONGEST_SECONDS, MOST_ROUNDS
+from guavastream.kernel import ThrottledSelector
+from guavastream.kernel.loops import MAX_POLL_INTERVAL_SECONDS, MAX_SKIPPED_POLLS
 
 
 @pytest.fixture
-def ends():
+def socket_pair():
     with contextlib.ExitStack() as stack:
-        yield [stack.enter_context(end) for end in socket.socketpair()]
+        yield [stack.enter_context(item) for item in socket.socketpair()]
 
 
-def test_busy_rounds_skip_the_look_a_few_times(ends):
-    """Guards against sockets that starve behind ready callbacks."""
-    near, far = ends
-    with EagerSelector(clock=lambda: 0.0) as selector:
+def test_polls_are_skipped_only_a_limited_number_of_times(socket_pair):
+    """Guards against sockets that are starved by ready callbacks."""
+    near, far = socket_pair
+    with ThrottledSelector(clock=lambda: 0.0) as selector:
         selector.register(near, selectors.EVENT_READ)
         selector.select(0.001)
         far.send(b"x")
-        assert [bool(selector.select(0)) for _ in range(MOST_ROUNDS + 1)] == [
-            *[False] * MOST_ROUNDS,
+        assert [bool(selector.select(0)) for _ in range(MAX_SKIPPED_POLLS + 1)] == [
+            *[False] * MAX_SKIPPED_POLLS,
             True,
         ]
 
 
-def test_sockets_are_looked_at_after_a_standstill(ends):
-    """Guards against timers that end what has been answered, and waits unread."""
-    near, far = ends
+def test_sockets_are_polled_after_the_process_was_stalled(socket_pair):
+    """Guards against timeouts of requests whose answers have arrived but are unread."""
+    near, far = socket_pair
     now = 0.0
-    with EagerSelector(clock=lambda: now) as selector:
+    with ThrottledSelector(clock=lambda: now) as selector:
         selector.register(near, selectors.EVENT_READ)
         selector.select(0.001)
         far.send(b"x")
-        now += LONGEST_SECONDS
+        now += MAX_POLL_INTERVAL_SECONDS
         assert selector.select(0)
--- a/guavastream/kernel/tests/test_stdout.py
+++ b/guavastream/kernel/tests/test_stdout.py
@@ -1,4 +1,4 @@
-"""Lines to standard output: bounded, and not made where they are dropped."""
+"""Rate limits of logs to standard output; dropped lines are not formatted."""
 
 import json
 import logging
@@ -6,16 +6,19 @@
 
 import pytest
 
-from guavastream.kernel import BoundedHandler, part_logger
-from guavastream.kernel.stdout import LINES_PER_SECOND, WARNINGS_PER_SECOND
+from guavastream.kernel import RateLimitedHandler, part_logger
+from guavastream.kernel.stdout import (
+    MAX_EXTRA_WARNINGS_PER_SECOND,
+    MAX_LINES_PER_SECOND,
+)
 
 
 @pytest.fixture
 def lines():
-    """A logger whose lines go into a pipe; yields it, its clock and a reader."""
+    """Yield a logger that writes to a pipe, its clock, and a function to read lines."""
     reader, writer = os.pipe()
     now = [10.0]
-    handler = BoundedHandler(fd=writer, clock=lambda: now[0])
+    handler = RateLimitedHandler(fd=writer, clock=lambda: now[0])
     handler.setFormatter(logging.Formatter('{"text": "%(message)s"}'))
     logger = logging.getLogger("guavastream")
     before = logger.handlers[:], logger.level, logger.propagate
@@ -37,41 +40,41 @@
     os.close(writer)
 
 
-def test_lines_are_bounded_by_the_second_but_for_warnings(lines):
+def test_lines_per_second_are_limited_with_extra_room_for_warnings(lines):
     log, now, read = lines
-    for number in range(3 * LINES_PER_SECOND):
+    for number in range(3 * MAX_LINES_PER_SECOND):
         log.info("line %d", number)
     log.warning("odd")
-    assert len(read()) == LINES_PER_SECOND + 1
+    assert len(read()) == MAX_LINES_PER_SECOND + 1
     now[0] += 1.0
     log.info("again")
     assert read() == ["part: again"]
 
 
-def test_warnings_are_bounded_too(lines):
-    # Another writer sends thousands of entries that cannot be read.
+def test_warnings_have_a_limit_of_their_own(lines):
+    # Another writer may send thousands of invalid entries.
     log, now, read = lines
     for number in range(1000):
         log.warning("entry %d", number)
-    assert len(read()) == LINES_PER_SECOND + WARNINGS_PER_SECOND
+    assert len(read()) == MAX_LINES_PER_SECOND + MAX_EXTRA_WARNINGS_PER_SECOND
     now[0] += 1.0
     log.warning("again")
     assert read() == ["part: again"]
 
 
-def test_a_dropped_line_is_not_made(lines):
-    # In a storm of refusals most lines are dropped; each cost as much as the
-    # refusal that it tells of.
+def test_no_log_record_is_created_for_a_dropped_line(lines):
+    # Under overload most lines about refused requests are dropped, and creating one
+    # costs as much as refusing the request.
     log, _, read = lines
-    made = []
-    log.logger.addFilter(lambda record: made.append(record) or True)
-    for number in range(3 * LINES_PER_SECOND):
+    created = []
+    log.logger.addFilter(lambda record: created.append(record) or True)
+    for number in range(3 * MAX_LINES_PER_SECOND):
         log.info("line %d", number)
-    assert len(made) == len(read()) == LINES_PER_SECOND
+    assert len(created) == len(read()) == MAX_LINES_PER_SECOND
     log.logger.filters.clear()
 
 
-def test_a_reader_that_is_slow_stops_nobody(lines):
+def test_slow_reader_does_not_block_the_logger(lines):
     log, _, read = lines
     for _ in range(3000):
         log.warning("x" * 1000)
--- a/guavastream/kernel/tests/test_waiting.py
+++ b/guavastream/kernel/tests/test_waiting.py
@@ -1,4 +1,4 @@
-"""Time limits and signals behave as those of asyncio do."""
+"""Time limits and signals behave like those of asyncio."""
 
 import asyncio
 
@@ -15,21 +15,21 @@
     return run_paused(start())
 
 
-def test_a_block_ends_at_its_time():
+def test_block_is_interrupted_at_its_time_limit():
     async def main(loop):
-        began = loop.time()
+        started = loop.time()
         with pytest.raises(TimeoutError):
-            with TimeLimit(loop=loop, when=began + 1.0):
+            with TimeLimit(loop=loop, when=started + 1.0):
                 await asyncio.sleep(5.0)
-        assert loop.time() == pytest.approx(began + 1.0)
-        # The task goes on as if nothing had been cancelled.
+        assert loop.time() == pytest.approx(started + 1.0)
+        # The timeout leaves no cancellation request on the task.
         assert not asyncio.current_task().cancelling()
         await asyncio.sleep(1.0)
 
     run(main)
 
 
-def test_a_block_that_ends_sooner_leaves_nothing_behind():
+def test_limit_of_a_finished_block_does_not_fire_later():
     async def main(loop):
         with TimeLimit(loop=loop, when=loop.time() + 1.0):
             await asyncio.sleep(0.5)
@@ -38,23 +38,23 @@
     run(main)
 
 
-def test_a_limit_may_be_moved():
+def test_limit_can_be_rescheduled():
     async def main(loop):
-        began = loop.time()
+        started = loop.time()
         with pytest.raises(TimeoutError):
-            with TimeLimit(loop=loop, when=began + 9.0) as limit:
-                limit.reschedule(began + 0.5)
-                assert limit.when == began + 0.5
+            with TimeLimit(loop=loop, when=started + 9.0) as limit:
+                limit.reschedule(started + 0.5)
+                assert limit.when == started + 0.5
                 await asyncio.sleep(5.0)
-        assert loop.time() == pytest.approx(began + 0.5)
+        assert loop.time() == pytest.approx(started + 0.5)
 
     run(main)
 
 
 @pytest.mark.parametrize("after", [0.5, 1.0])
-def test_a_cancellation_from_elsewhere_is_not_lost(after):
-    # A caller leaves, perhaps at the very moment its time is over: the task
-    # must end, or it would work on for nobody.
+def test_cancellation_by_other_code_is_not_lost(after):
+    # A caller may disconnect at the same time as its request times out. The task must
+    # end, or it would go on working on an abandoned request.
     async def main(loop):
         async def work():
             with TimeLimit(loop=loop, when=loop.time() + 1.0):
@@ -69,7 +69,7 @@
     run(main)
 
 
-def test_nested_limits_end_their_own_block():
+def test_nested_limit_interrupts_only_its_own_block():
     async def main(loop):
         with TimeLimit(loop=loop, when=loop.time() + 2.0):
             with pytest.raises(TimeoutError):
@@ -79,7 +79,7 @@
     run(main)
 
 
-def test_a_signal_wakes_all_that_wait_and_lets_later_ones_pass():
+def test_signal_wakes_all_waiting_tasks_and_stays_set_until_cleared():
     async def main(loop):
         signal = Signal(loop=loop)
         woken = []
@@ -106,8 +106,8 @@
     run(main)
 
 
-def test_a_limit_that_has_struck_is_not_moved():
-    """Guards against a second cancellation, which is taken for one from elsewhere."""
+def test_expired_limit_is_not_rescheduled():
+    """Guards against a second cancellation, which would look like one by other code."""
 
     async def main(loop):
         limits = []
@@ -116,7 +116,7 @@
             try:
                 with TimeLimit(loop=loop, when=loop.time() + 1.0) as limit:
                     limits.append(limit)
-                    # The end of another task takes a turn of the loop more.
+                    # Waiting for another task takes one more loop iteration to end.
                     await asyncio.ensure_future(asyncio.sleep(5.0))
             except TimeoutError:
                 await asyncio.sleep(0.5)
@@ -124,7 +124,7 @@
 
         task = asyncio.ensure_future(work())
         await asyncio.sleep(0)
-        # Due in the same turn as the limit, and right behind it.
+        # Due in the same loop iteration as the limit, right after it.
         loop.call_at(loop.time() + 1.0, lambda: limits[0].reschedule(loop.time()))
         assert await task == "handled"
 
--- a/guavastream/kernel/waiting.py
+++ b/guavastream/kernel/waiting.py
@@ -1,22 +1,22 @@
-"""Waiting for events and for an end of time, for a loop that is known.
+"""Events and time limits that are bound to an event loop.
 
-What `asyncio` offers for both looks its loop up at each use, and each look-up
-is a system call in Python 3.11: half of those of a process under load.
+Those of `asyncio` look up the running loop at each use. In Python 3.11 each look-up
+is a system call; they were half of all system calls of a process under load.
 """
 
 import asyncio
 import contextlib
 
-__all__ = ["Signal", "TimeLimit", "TimeLimits"]
+__all__ = ["Signal", "TimeLimit", "TimeLimitGroup"]
 
 
 class Signal:
-    """An event that tasks of one loop wait for.
+    """An event for tasks of one loop, like `asyncio.Event`.
 
     Parameters
     ----------
     loop : asyncio.AbstractEventLoop
-        Loop of the tasks.
+        The loop of the waiting tasks.
     """
 
     __slots__ = ("_loop", "_set", "_waiters")
@@ -27,11 +27,11 @@
         self._waiters = []
 
     def is_set(self):
-        """Whether waiting ends at once."""
+        """Whether the signal is set."""
         return self._set
 
     def set(self):
-        """Let all that wait go on, and later ones pass."""
+        """Wake all waiting tasks. Until `clear`, `wait` returns at once."""
         self._set = True
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
@@ -39,11 +39,11 @@
                 waiter.set_result(None)
 
     def clear(self):
-        """Let later ones wait."""
+        """Reset the signal, so that `wait` blocks again."""
         self._set = False
 
     async def wait(self):
-        """Wait until it is set."""
+        """Wait until the signal is set."""
         if self._set:
             return
         waiter = self._loop.create_future()
@@ -51,9 +51,10 @@
         await waiter
 
     async def wait_until(self, when):
-        """Wait until it is set; return False if it is not by the loop's time `when`.
+        """Wait until the signal is set, at most until the loop time `when`.
 
-        What sets it in the very turn of the loop in which the time is over counts.
+        Return whether it is set. That includes a signal that is set in the same loop
+        iteration in which the time limit expires.
         """
         try:
             with TimeLimit(loop=self._loop, when=when):
@@ -64,19 +65,19 @@
 
 
 class TimeLimit:
-    """Ends what runs inside a `with` block at a time, by `TimeoutError`.
+    """Context manager that raises `TimeoutError` in its block at a given time.
 
     Parameters
     ----------
     loop : asyncio.AbstractEventLoop
         The running loop.
     when : float
-        The loop's time at which the block ends.
+        Loop time at which the block is interrupted.
 
     Notes
     -----
-    Works as `asyncio.timeout_at`: a cancellation from elsewhere passes
-    through, also if it comes at the same moment.
+    Works like `asyncio.timeout_at`: a cancellation by other code is passed on, even
+    if it happens at the same time as the timeout.
     """
 
     __slots__ = ("_cancelling", "_expired", "_handle", "_loop", "_task", "_when")
@@ -88,16 +89,16 @@
 
     @classmethod
     def within(cls, seconds, *, loop):
-        """Return a limit so many seconds from now."""
+        """Return a limit that expires after `seconds`."""
         return cls(loop=loop, when=loop.time() + max(0.0, seconds))
 
     @property
     def when(self):
-        """The loop's time at which the block ends."""
+        """Loop time at which the block is interrupted."""
         return self._when
 
     def reschedule(self, when):
-        """Let the block end at another time, unless its time is over."""
+        """Change the time of the limit, unless it has already expired."""
         if self._expired:
             return
         self._when = when
@@ -123,8 +124,8 @@
         self._task.cancel()
 
 
-class TimeLimits:
-    """The limits of many blocks, which can all be made to end by one time.
+class TimeLimitGroup:
+    """Time limits of many blocks, with a common limit that can be set later.
 
     Parameters
     ----------
@@ -135,25 +136,25 @@
     def __init__(self, *, loop):
         self._loop = loop
         self._end = float("inf")
-        self._open = set()
+        self._active = set()
 
     @property
     def end(self):
-        """The loop's time by which all blocks end."""
+        """Loop time by which all blocks end; infinite until `end_by` is called."""
         return self._end
 
     @contextlib.contextmanager
     def until(self, when):
-        """End what runs inside a `with` block at a time, as `TimeLimit` does."""
+        """Limit a `with` block to the loop time `when`, or to `end` if earlier."""
         with TimeLimit(loop=self._loop, when=min(when, self._end)) as limit:
-            self._open.add(limit)
+            self._active.add(limit)
             try:
                 yield
             finally:
-                self._open.discard(limit)
+                self._active.discard(limit)
 
     def end_by(self, when):
-        """Let all blocks end by a time, those that are open and later ones."""
+        """End all blocks by the loop time `when`, both current and later ones."""
         self._end = when
-        for limit in self._open:
+        for limit in self._active:
             limit.reschedule(min(limit.when, when))
--- a/guavastream/leases/client.py
+++ b/guavastream/leases/client.py
@@ -6,7 +6,7 @@
 
 from guavastream.exception import CallTimeout, NotLeader, NotReady, PeerFailure
 from guavastream.leases.messages import Submit
-from guavastream.messages import Packed, encode_message, read_whole
+from guavastream.messages import PackedAnswer, encode_message, read_whole
 
 __all__ = ["ControlClient"]
 
@@ -116,7 +116,7 @@
 
     async def finish(self, address, begun):
         """Return the complete answer whose first part `begin` returned."""
-        if not isinstance(begun, Packed):
+        if not isinstance(begun, PackedAnswer):
             return begun
 
         async def read_part(request, timeout):
--- a/guavastream/messages/__init__.py
+++ b/guavastream/messages/__init__.py
@@ -1,4 +1,4 @@
-"""Typed messages between the system's processes and how they travel."""
+"""Typed messages between the system's processes, and their transport."""
 
 from guavastream.messages.codec import *
 from guavastream.messages.packing import *
--- a/guavastream/messages/codec.py
+++ b/guavastream/messages/codec.py
@@ -1,4 +1,4 @@
-"""Typed messages between processes and their encoding."""
+"""Registry and msgpack encoding of the typed messages between processes."""
 
 import functools
 
@@ -18,16 +18,16 @@
 
 
 def message(cls=None, *, tag=None, encoded_names=None):
-    r"""Register a class as a message; it becomes a frozen record.
+    r"""Turn a class into a frozen record and register it as a message.
 
     Parameters
     ----------
     cls : type, optional
-        The class; without it a decorator is returned.
+        The class. A decorator is returned if it is omitted.
     tag : str, optional
-        Name of the message in its encoding; the class's name by default.
+        Name of the message on the wire; by default that of the class.
     encoded_names : dict, optional
-        Encoded names of fields, by attribute, where the two differ.
+        Names of fields on the wire by attribute name, where the two differ.
 
     Examples
     --------
@@ -55,29 +55,29 @@
 
 
 def encode_message(item):
-    """Return the tag and the body of a message, both bytes."""
+    """Return the tag and the encoded body of a message, both as bytes."""
     return _tags[type(item)], _encoder.encode(item)
 
 
 def decode_message(tag, body):
-    """Return the message of a tag and a body.
+    """Decode a message from its tag and body.
 
     Raises
     ------
     BadMessage
-        If the tag is unknown or the body does not fit it.
+        If the tag is unknown or the body is not a valid message of its type.
 
     Examples
     --------
     >>> decode_message(b"Nonsense", b"")
     Traceback (most recent call last):
-    guavastream.exception.BadMessage: unknown message b'Nonsense'
+    guavastream.exception.BadMessage: unknown message tag b'Nonsense'
     """
     decoder = _decoders.get(tag)
     if decoder is None:
         cls = _types.get(bytes(tag))
         if cls is None:
-            raise BadMessage(f"unknown message {bytes(tag[:40])!r}")
+            raise BadMessage(f"unknown message tag {bytes(tag[:40])!r}")
         decoder = _decoders[bytes(tag)] = msgspec.msgpack.Decoder(cls)
     try:
         return decoder.decode(body)
--- a/guavastream/messages/packing.py
+++ b/guavastream/messages/packing.py
@@ -1,26 +1,28 @@
-"""Large encoded items travel and are kept compressed."""
+"""Compression of large encoded data for sending and storing."""
 
 import zlib
 
 __all__ = ["pack", "unpack"]
 
-# Below this a call to the compressor costs more than the bytes that it saves.
-PACK_BYTES = 1024
-# The fastest level: 1,200 routes go from 400 to 50 KB within 4 ms; the best
-# one takes ten times as long for 40 KB.
-LEVEL = 1
-# First byte of what zlib writes at any level. Encoded items are msgpack maps
-# and arrays, none of which begins with it.
-MARK = 0x78
+# Compressing less than this costs more time than the saved bytes are worth.
+MIN_PACK_BYTES = 1024
+# The fastest level compresses 1,200 routes from 400 to 50 KB in 4 ms. The best level
+# takes ten times as long and reaches 40 KB.
+COMPRESSION_LEVEL = 1
+# First byte of zlib data at any level. Encoded data are msgpack maps or arrays, and
+# these never start with it.
+ZLIB_FIRST_BYTE = 0x78
 
 
 def pack(data):
-    """Return encoded data, compressed where that is worthwhile.
+    """Compress encoded data if that makes it smaller.
+
+    Data below `MIN_PACK_BYTES` is returned as it is.
 
     Parameters
     ----------
     data : bytes
-        An encoded map or array.
+        A msgpack map or array.
 
     Examples
     --------
@@ -30,23 +32,23 @@
     >>> unpack(pack(short)) == short, unpack(pack(long)) == long
     (True, True)
     """
-    if len(data) < PACK_BYTES:
+    if len(data) < MIN_PACK_BYTES:
         return data
-    packed = zlib.compress(data, LEVEL)
+    packed = zlib.compress(data, COMPRESSION_LEVEL)
     return packed if len(packed) < len(data) else data
 
 
 def unpack(data):
-    """Return what `pack` was given.
+    """Return the data that was passed to `pack`.
 
     Raises
     ------
     ValueError
-        If the data is damaged.
+        If the compressed data is corrupt.
     """
-    if not data or data[0] != MARK:
+    if not data or data[0] != ZLIB_FIRST_BYTE:
         return data
     try:
         return zlib.decompress(data)
     except zlib.error as error:
-        raise ValueError(f"damaged: {error}") from error
+        raise ValueError(f"corrupt compressed data: {error}") from error
--- a/guavastream/messages/parts.py
+++ b/guavastream/messages/parts.py
@@ -1,10 +1,10 @@
-"""Answers that are too large for one message are read part by part.
+"""Large answers are compressed and transferred in several parts.
 
-A message of any size, waited for as long as a small one, never arrives where a
-link needs longer for it: it comes when nobody waits any more, and what is asked
-anew queues behind it. A part passes the narrowest link in a fraction of the time
-that it is waited for; what has come is kept; and other messages on the same
-connection, heartbeats above all, pass in between.
+If a link needs longer for a large message than the call's timeout, the answer always
+arrives too late, and the retried answer queues behind it. A part takes only a
+fraction of its timeout on the slowest link. Parts that have arrived are kept when a
+later one is lost, and other messages on the same connection, such as heartbeats, are
+sent between the parts.
 """
 
 from dataclasses import dataclass
@@ -15,63 +15,63 @@
 from guavastream.messages.codec import decode_message, encode_message, message
 from guavastream.messages.packing import pack, unpack
 
-__all__ = ["Packed", "PartShelf", "PartRead", "ReadPart", "read_whole"]
+__all__ = ["PackedAnswer", "LargeAnswerCache", "AnswerPart", "ReadPart", "read_whole"]
 
-# What comes with the first answer, when nothing is known of the link yet.
-FIRST_BYTES = 8 << 10
-# A link of 4 Mbit/s passes a part in 65 ms; with smaller ones a book of 50 KB
-# would take more round trips.
+# Size of the first part, which is sent before the speed of the link is known.
+FIRST_PART_BYTES = 8 << 10
+# A link of 4 Mbit/s transfers a part in 65 ms. Smaller parts would need more round
+# trips for a fleet state of 50 KB.
 PART_BYTES = 32 << 10
-# A part that does not come in time is asked for anew, a quarter as long: a link
-# that passes 20 KB a second still passes the shortest ones.
-PART_SECONDS = 0.6
-PART_TRIES = 4
-SHRINK = 4
-SHORTEST_BYTES = 2 << 10
-# Bytes that wait to be read on, and how long they do after they were last
-# asked for: all tries of a reader.
-SHELF_BYTES = 8 << 20
-SHELF_SECONDS = 3.0
-
-
-@message
-class Packed:
-    """The beginning of a large answer, compressed.
-
-    `name` stands for its content, `size` counts all its bytes, `tag` is that
-    of the answer.
+# After a timeout a part of a quarter of the size is requested. A link with 20 KB/s
+# still transfers the smallest parts in time.
+PART_TIMEOUT_SECONDS = 0.6
+ATTEMPTS_PER_PART = 4
+PART_SHRINK_FACTOR = 4
+MIN_PART_BYTES = 2 << 10
+# Limits of the cache: its total size, and the time that an answer is cached after its
+# last read, which is long enough for all attempts of a reader at one part.
+MAX_CACHED_BYTES = 8 << 20
+CACHE_SECONDS = 3.0
+
+
+@message(tag="Packed", encoded_names={"digest": "name"})
+class PackedAnswer:
+    """The first part of a large answer, compressed if that makes it smaller.
+
+    `tag` is that of the answer, `digest` the hash of its uncompressed body, and
+    `size` the size of the whole answer as sent, in bytes.
     """
 
     tag: bytes
-    name: bytes
+    digest: bytes
     size: int
     data: bytes
 
 
-@message
+@message(encoded_names={"digest": "name"})
 class ReadPart:
-    """Asks for up to `size` bytes from `offset` on of a `Packed` answer."""
+    """Asks for up to `size` bytes of a `PackedAnswer`, starting at `offset`."""
 
-    name: bytes
+    digest: bytes
     offset: int
     size: int = PART_BYTES
 
 
-@message
-class PartRead:
-    """A part of an answer."""
+@message(tag="PartRead")
+class AnswerPart:
+    """The requested bytes of a `PackedAnswer`."""
 
     data: bytes
 
 
 @dataclass(kw_only=True)
-class _Kept:
+class _CachedAnswer:
     body: bytes
-    asked_at: float
+    read_at: float
 
 
-class PartShelf:
-    """Keeps large answers while those who asked read them.
+class LargeAnswerCache:
+    """Splits large answers and caches them for the callers that read the parts.
 
     Parameters
     ----------
@@ -83,96 +83,102 @@
     >>> @message
     ... class Sample:
     ...     text: bytes
-    >>> shelf = PartShelf(clock=lambda: 0.0)
+    >>> cache = LargeAnswerCache(clock=lambda: 0.0)
     >>> short = Sample(text=b"a")
-    >>> shelf.cut(short) is short
+    >>> cache.split(short) is short
     True
-    >>> type(shelf.cut(Sample(text=bytes(100_000)))).__name__
-    'Packed'
+    >>> type(cache.split(Sample(text=bytes(100_000)))).__name__
+    'PackedAnswer'
     """
 
     def __init__(self, *, clock):
         self._clock = clock
-        self._kept = {}
+        self._cached = {}
 
-    def cut(self, answer):
-        """Return an answer as it is sent: itself, or its beginning."""
+    def split(self, answer):
+        """Return the answer itself if it is small, otherwise its first part."""
         tag, body = encode_message(answer)
-        if len(body) <= FIRST_BYTES:
+        if len(body) <= FIRST_PART_BYTES:
             return answer
-        name = xxhash.xxh3_128_digest(body)
-        kept = self._kept.pop(name, None)
-        # Many ask for the same: it is compressed once.
-        whole = kept.body if kept else pack(body)
-        if len(whole) > FIRST_BYTES:
-            self._keep(name, whole)
-        return Packed(tag=tag, name=name, size=len(whole), data=whole[:FIRST_BYTES])
+        digest = xxhash.xxh3_128_digest(body)
+        cached = self._cached.pop(digest, None)
+        # Many callers read the same answer; it is compressed only once.
+        packed = cached.body if cached else pack(body)
+        if len(packed) > FIRST_PART_BYTES:
+            self._store(digest, packed)
+        return PackedAnswer(
+            tag=tag, digest=digest, size=len(packed), data=packed[:FIRST_PART_BYTES]
+        )
 
     def read(self, request):
-        """Return the part that is asked for.
+        """Return the requested part.
 
         Raises
         ------
         PeerFailure
-            If the answer is not kept any more.
+            If the answer is no longer cached.
         """
-        kept = self._kept.get(request.name)
-        if kept is None:
-            raise PeerFailure("The rest is not kept any more.", code="unknown_part")
-        kept.asked_at = self._clock()
+        cached = self._cached.get(request.digest)
+        if cached is None:
+            raise PeerFailure("The answer is no longer cached.", code="unknown_part")
+        cached.read_at = self._clock()
         end = request.offset + min(request.size, PART_BYTES)
-        return PartRead(data=kept.body[request.offset : end])
+        return AnswerPart(data=cached.body[request.offset : end])
 
-    def _keep(self, name, whole):
-        self._kept[name] = _Kept(body=whole, asked_at=self._clock())
-        total = sum(len(kept.body) for kept in self._kept.values())
-        limit = self._clock() - SHELF_SECONDS
-        for other, kept in list(self._kept.items()):
-            if other != name and (total > SHELF_BYTES or kept.asked_at < limit):
-                total -= len(kept.body)
-                del self._kept[other]
+    def _store(self, digest, packed):
+        self._cached[digest] = _CachedAnswer(body=packed, read_at=self._clock())
+        total = sum(len(cached.body) for cached in self._cached.values())
+        oldest = self._clock() - CACHE_SECONDS
+        for other, cached in list(self._cached.items()):
+            if other != digest and (
+                total > MAX_CACHED_BYTES or cached.read_at < oldest
+            ):
+                total -= len(cached.body)
+                del self._cached[other]
 
 
 async def read_whole(packed, call):
-    """Return the answer of which `packed` is the beginning.
+    """Read the remaining parts of an answer and return the whole answer.
 
     Parameters
     ----------
-    packed : Packed
-        As it came.
+    packed : PackedAnswer
+        The first part.
     call : callable
-        Coroutine function from a request and a timeout in seconds to the
-        answer of the peer that sent it.
+        Coroutine function that takes a request and a timeout in seconds, calls the
+        peer that sent `packed` and returns its answer.
 
     Raises
     ------
     CallTimeout
-        If a part did not come, however often it was asked for.
+        If a part did not arrive in any attempt.
     PeerFailure
         As the peer answered.
     BadMessage
-        If what came is not the answer.
+        If the received parts do not make up the answer.
     """
-    whole = bytearray(packed.data)
-    size, tries = PART_BYTES, PART_TRIES
-    while len(whole) < packed.size:
-        request = ReadPart(name=packed.name, offset=len(whole), size=size)
+    received = bytearray(packed.data)
+    size, attempts_left = PART_BYTES, ATTEMPTS_PER_PART
+    while len(received) < packed.size:
+        request = ReadPart(digest=packed.digest, offset=len(received), size=size)
         try:
-            part = await call(request, PART_SECONDS)
+            part = await call(request, PART_TIMEOUT_SECONDS)
         except CallTimeout:
-            tries -= 1
-            if not tries:
+            attempts_left -= 1
+            if not attempts_left:
                 raise
-            size = max(size // SHRINK, SHORTEST_BYTES)
+            size = max(size // PART_SHRINK_FACTOR, MIN_PART_BYTES)
             continue
         if not part.data:
-            raise BadMessage("a part is empty")
-        tries = PART_TRIES
-        whole += part.data
+            raise BadMessage("a peer sent an empty part of an answer")
+        attempts_left = ATTEMPTS_PER_PART
+        received += part.data
     try:
-        body = unpack(bytes(whole))
+        body = unpack(bytes(received))
     except ValueError as error:
         raise BadMessage(f"{packed.tag.decode()}: {error}") from error
-    if xxhash.xxh3_128_digest(body) != packed.name:
-        raise BadMessage(f"{packed.tag.decode()}: parts do not fit together")
+    if xxhash.xxh3_128_digest(body) != packed.digest:
+        raise BadMessage(
+            f"{packed.tag.decode()}: the digest of the joined parts does not match"
+        )
     return decode_message(packed.tag, body)
--- a/guavastream/messages/relaying.py
+++ b/guavastream/messages/relaying.py
@@ -1,10 +1,11 @@
-"""Calls that reach a control host by way of another host.
-
-A host may be cut off from all control hosts while other hosts still reach it,
-and its backend server is well. Without their words its keys run out within
-seconds and go to the few servers that are left. So it has another host pass its
-calls on. Nothing relies on who passed a call on: a hold counts from when the
-heartbeat was sent and until after it came, however long it took.
+"""Calls to control hosts, relayed by another host where there is no direct path.
+
+A host may lose contact with all control hosts while other hosts can still reach it
+and its backend server is healthy. Without answers from a control host its keys would
+expire within seconds and move to the few remaining servers, so it asks another host
+to relay its calls. Safety does not depend on the relay or its delay: a host counts
+its hold on keys from when it sent the heartbeat, and the control plane from when the
+heartbeat arrived.
 """
 
 import random
@@ -14,29 +15,33 @@
 from guavastream.messages.codec import decode_message, encode_message, message
 from guavastream.messages.transport import Transport
 
-__all__ = ["RelayDesk", "Relayed", "RelayedAnswer", "RelayingTransport"]
+__all__ = ["RelayService", "RelayedCall", "RelayedAnswer", "RelayingTransport"]
 
-# A host is cut off once no control host has answered anything for this long,
-# although calls were made: somewhat over the longest time between two watches.
+# A host counts as cut off if it has had no direct answer from any control host for
+# this long and has lost this many calls since the last one. The time is slightly
+# longer than the longest interval between two watches.
 CUT_OFF_SECONDS = 1.1
-CUT_OFF_CALLS = 3
-# A host that is cut off tries a control host itself this often.
+CUT_OFF_LOST_CALLS = 3
+# Interval at which a host that is cut off tries a direct call.
 PROBE_SECONDS = 0.5
-# Calls that a host passes on at a time; a watch lasts 0.6 s, and each host that
-# is cut off makes some four calls a second.
-MOST_RELAYED = 64
-# Part of the time of a call that is left to the host that passes it on.
-RELAYED_SHARE = 0.9
-# Pause after a host said that it cannot pass calls on, most often because no
-# host reaches a control host. Without it all hosts would ask each other without
-# end while the control hosts are down.
-REST_SECONDS = 0.4
+# Calls that a host relays at the same time. A watch lasts 0.6 s, and each host that
+# is cut off makes about four calls a second.
+MAX_RELAYED_CALLS = 64
+# Share of a call's timeout that the relay may use for its own call.
+RELAY_TIMEOUT_SHARE = 0.9
+# Pause in relaying after a host refused to relay, usually because no host can reach
+# a control host. Without it all hosts would keep calling each other while the
+# control hosts are down.
+RELAY_PAUSE_SECONDS = 0.4
 CANNOT_RELAY = "cannot_relay"
 
 
-@message
-class Relayed:
-    """Asks a host to call the control host `to` and wait `seconds` for it."""
+@message(tag="Relayed")
+class RelayedCall:
+    """Asks a host to call the control host `to` with a timeout of `seconds`.
+
+    `tag` and `body` are those of the encoded call.
+    """
 
     to: str
     tag: bytes
@@ -46,24 +51,25 @@
 
 @message
 class RelayedAnswer:
-    """What a control host answered to a call that was passed on."""
+    """Encoded answer of a control host to a relayed call."""
 
     tag: bytes
     body: bytes
 
 
-class RelayDesk:
-    """Passes calls of hosts that are cut off on to control hosts.
+class RelayService:
+    """Relays calls of hosts that are cut off to control hosts.
 
     Parameters
     ----------
     transport : RelayingTransport
-        Reaches the control hosts; only its direct way is used, so that no call
-        is passed on twice.
+        Transport to the control hosts. Only its direct transport is used, so that
+        no call is relayed twice.
     targets : callable
-        Returns the peer addresses of control hosts; no other gets anything.
+        Returns the peer addresses of the control hosts. Calls to any other address
+        are refused.
     count : callable, optional
-        Counts an event by name.
+        Called with the name of each event to count.
     """
 
     def __init__(self, *, transport, targets, count=lambda name: None):
@@ -73,25 +79,30 @@
         self._running = 0
 
     async def handle(self, request):
-        """Answer one `Relayed`.
+        """Relay one `RelayedCall` and return its `RelayedAnswer`.
 
         Raises
         ------
         NotLeader, PeerFailure
-            Carried to the caller; those of the control host among them.
+            If this host cannot relay the call, or the control host answered with
+            this error.
+        CallTimeout
+            If the control host did not answer in time.
+        BadMessage
+            If the call cannot be decoded.
         """
-        if not isinstance(request, Relayed):
-            raise PeerFailure(f"{type(request).__name__} is not for hosts.")
+        if not isinstance(request, RelayedCall):
+            raise PeerFailure(f"Hosts do not handle {type(request).__name__}.")
         if request.to not in self._targets():
-            raise PeerFailure(f"{request.to} is no control host.")
-        if self._transport.is_cut_off or self._running >= MOST_RELAYED:
-            raise PeerFailure("This host cannot pass calls on.", code=CANNOT_RELAY)
+            raise PeerFailure(f"{request.to} is not a control host.")
+        if self._transport.is_cut_off or self._running >= MAX_RELAYED_CALLS:
+            raise PeerFailure("This host cannot relay calls.", code=CANNOT_RELAY)
         self._count("relayed")
         self._running += 1
         try:
-            asked = decode_message(request.tag, request.body)
+            control_request = decode_message(request.tag, request.body)
             answer = await self._transport.direct.call(
-                request.to, asked, timeout=request.seconds
+                request.to, control_request, timeout=request.seconds
             )
         finally:
             self._running -= 1
@@ -100,30 +111,32 @@
 
 
 @dataclass(kw_only=True)
-class _Heard:
-    """When a control host last answered directly, and calls lost since."""
+class _DirectContact:
+    """Time of the last direct answer of a control host, and calls lost since."""
 
-    at: float
-    lost: int = 0
+    answered_at: float
+    lost_calls: int = 0
 
 
 class RelayingTransport(Transport):
-    """Calls control hosts directly, or by way of another host.
+    """Calls control hosts directly, or through another host while cut off.
 
     Parameters
     ----------
     direct : Transport
-        Reaches whoever can be reached.
+        Transport without relaying.
     relays : callable
         Returns the peer addresses of other hosts.
     probes : tuple of type
-        Messages that may be lost: those try the direct way now and then.
+        Types of messages that may be lost. While this host is cut off, one of them
+        is sent directly every `PROBE_SECONDS` to detect that the direct path works
+        again.
     clock : callable
         Monotonic time in seconds.
     rng : random.Random, optional
-        Chooses the host that passes calls on.
+        Chooses the host that relays calls.
     on_change : callable, optional
-        Told whether this host is cut off, whenever that changes.
+        Called with the new value whenever `is_cut_off` has changed.
     """
 
     def __init__(
@@ -142,31 +155,34 @@
         self._clock = clock
         self._rng = rng or random.Random()
         self._on_change = on_change
-        self._heard = _Heard(at=clock())
+        self._contact = _DirectContact(answered_at=clock())
         self._probed_at = clock()
-        self._rests_until = clock()
+        self._paused_until = clock()
         self._relay = ""
-        self._told = False
+        self._reported = False
 
     @property
     def is_cut_off(self):
-        """Whether no control host can be reached directly."""
-        silent = self._clock() - self._heard.at
-        return self._heard.lost >= CUT_OFF_CALLS and silent >= CUT_OFF_SECONDS
+        """Whether direct calls to the control hosts have stopped being answered."""
+        silence = self._clock() - self._contact.answered_at
+        return (
+            self._contact.lost_calls >= CUT_OFF_LOST_CALLS
+            and silence >= CUT_OFF_SECONDS
+        )
 
     async def call(self, address, request, *, timeout):
-        self._tell()
+        self._report_change()
         if not self.is_cut_off or self._is_probe(request):
             return await self._call_directly(address, request, timeout)
-        relay = self._choose()
+        relay = self._choose_relay()
         if not relay:
             return await self._call_directly(address, request, timeout)
-        return await self._call_by(relay, address, request, timeout)
+        return await self._call_through(relay, address, request, timeout)
 
     def _is_probe(self, request):
         now = self._clock()
-        due = isinstance(request, self._probes)
-        if not due or now - self._probed_at < PROBE_SECONDS:
+        may_probe = isinstance(request, self._probes)
+        if not may_probe or now - self._probed_at < PROBE_SECONDS:
             return False
         self._probed_at = now
         return True
@@ -175,52 +191,52 @@
         try:
             answer = await self.direct.call(address, request, timeout=timeout)
         except CallTimeout:
-            self._heard.lost += 1
+            self._contact.lost_calls += 1
             raise
         except (NotLeader, PeerFailure):
-            self._note_heard()
+            self._record_answer()
             raise
-        self._note_heard()
+        self._record_answer()
         return answer
 
-    def _note_heard(self):
-        self._heard = _Heard(at=self._clock())
+    def _record_answer(self):
+        self._contact = _DirectContact(answered_at=self._clock())
         self._relay = ""
-        self._tell()
+        self._report_change()
 
-    def _tell(self):
-        if self._told != self.is_cut_off:
-            self._told = self.is_cut_off
-            self._on_change(self._told)
+    def _report_change(self):
+        if self._reported != self.is_cut_off:
+            self._reported = self.is_cut_off
+            self._on_change(self._reported)
 
-    def _choose(self):
-        """Return the host that passes calls on now, or an empty string."""
-        if self._clock() < self._rests_until:
+    def _choose_relay(self):
+        """Return the address of the host that relays calls, or an empty string."""
+        if self._clock() < self._paused_until:
             return ""
-        known = self._relays()
-        if self._relay not in known:
-            self._relay = self._rng.choice(known) if known else ""
+        hosts = self._relays()
+        if self._relay not in hosts:
+            self._relay = self._rng.choice(hosts) if hosts else ""
         return self._relay
 
-    async def _call_by(self, relay, address, request, timeout):
+    async def _call_through(self, relay, address, request, timeout):
         tag, body = encode_message(request)
-        seconds = timeout * RELAYED_SHARE
-        asked = Relayed(to=address, tag=tag, body=body, seconds=seconds)
+        seconds = timeout * RELAY_TIMEOUT_SHARE
+        relayed_call = RelayedCall(to=address, tag=tag, body=body, seconds=seconds)
         try:
-            answer = await self.direct.call(relay, asked, timeout=timeout)
+            answer = await self.direct.call(relay, relayed_call, timeout=timeout)
         except CallTimeout:
-            # It may be cut off as well, or gone.
-            self._leave(relay)
+            # The relay may be cut off as well, or down.
+            self._forget_relay(relay)
             raise
         except PeerFailure as error:
             if error.code == CANNOT_RELAY:
-                self._leave(relay)
-                self._rests_until = self._clock() + REST_SECONDS
+                self._forget_relay(relay)
+                self._paused_until = self._clock() + RELAY_PAUSE_SECONDS
             if error.code in (CallTimeout.code, CANNOT_RELAY):
                 raise CallTimeout(f"{address} did not answer") from None
             raise
         return decode_message(answer.tag, answer.body)
 
-    def _leave(self, relay):
+    def _forget_relay(self, relay):
         if self._relay == relay:
             self._relay = ""
--- a/guavastream/messages/tests/test_parts.py
+++ b/guavastream/messages/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""Large answers in parts: they come whole, whatever is lost, or not at all."""
+"""Large answers in parts: they arrive complete, or the read fails."""
 
 import asyncio
 import random
@@ -6,19 +6,25 @@
 import pytest
 
 from guavastream.exception import BadMessage, CallTimeout, PeerFailure
-from guavastream.messages import Packed, PartRead, PartShelf, message, read_whole
+from guavastream.messages import (
+    AnswerPart,
+    LargeAnswerCache,
+    PackedAnswer,
+    message,
+    read_whole,
+)
 from guavastream.messages.parts import (
-    FIRST_BYTES,
+    ATTEMPTS_PER_PART,
+    FIRST_PART_BYTES,
+    MAX_CACHED_BYTES,
+    MIN_PART_BYTES,
     PART_BYTES,
-    PART_TRIES,
-    SHELF_BYTES,
-    SHORTEST_BYTES,
 )
 
 
 @message
 class Long:
-    """An answer of any length."""
+    """An answer of arbitrary length."""
 
     text: bytes
 
@@ -28,67 +34,67 @@
 
 
 class Link:
-    """Reads parts off a shelf; every call may fail as told."""
+    """A simulated link to a `LargeAnswerCache`; calls fail as configured."""
 
-    def __init__(self, shelf):
-        self.shelf = shelf
+    def __init__(self, cache):
+        self.cache = cache
         self.calls = 0
         self.offsets = []
-        self.most = PART_BYTES
-        self.lost = lambda number: False
+        self.max_part_bytes = PART_BYTES
+        self.loses = lambda number: False
 
     async def call(self, request, timeout):
         self.calls += 1
         self.offsets.append(request.offset)
-        if self.lost(self.calls) or request.size > self.most:
+        if self.loses(self.calls) or request.size > self.max_part_bytes:
             raise CallTimeout("lost")
-        return self.shelf.read(request)
+        return self.cache.read(request)
 
 
 def make_link(answer, clock=lambda: 0.0):
-    shelf = PartShelf(clock=clock)
-    return shelf.cut(answer), Link(shelf)
+    cache = LargeAnswerCache(clock=clock)
+    return cache.split(answer), Link(cache)
 
 
-def test_an_answer_comes_whole_in_parts():
+def test_large_answer_is_read_completely_in_parts():
     packed, link = make_link(long_answer())
     assert asyncio.run(read_whole(packed, link.call)) == long_answer()
-    assert len(packed.data) == FIRST_BYTES and link.calls == 5
+    assert len(packed.data) == FIRST_PART_BYTES and link.calls == 5
 
 
-def test_a_compressible_answer_needs_no_more_parts():
+def test_compressed_answer_that_fits_the_first_part_needs_no_further_call():
     answer = Long(text=bytes(20 * PART_BYTES))
     packed, link = make_link(answer)
     assert asyncio.run(read_whole(packed, link.call)) == answer
     assert link.calls == 0
 
 
-def test_a_lost_part_is_asked_for_again_and_what_has_come_is_kept():
+def test_lost_part_is_retried_without_reading_earlier_parts_again():
     packed, link = make_link(long_answer())
-    link.lost = lambda number: number % 2
+    link.loses = lambda number: number % 2
     assert asyncio.run(read_whole(packed, link.call)) == long_answer()
     assert link.offsets == sorted(link.offsets)
 
 
-def test_parts_get_shorter_where_they_do_not_come_in_time():
-    # The link passes 8 KB within the time that a part is waited for.
+def test_part_size_shrinks_after_timeouts():
+    # The link transfers at most 8 KB within the timeout of a part.
     packed, link = make_link(long_answer())
-    link.most = 8 << 10
+    link.max_part_bytes = 8 << 10
     assert asyncio.run(read_whole(packed, link.call)) == long_answer()
-    link.most = SHORTEST_BYTES - 1
+    link.max_part_bytes = MIN_PART_BYTES - 1
     with pytest.raises(CallTimeout):
         asyncio.run(read_whole(packed, link.call))
 
 
-def test_a_peer_that_is_gone_is_given_up():
+def test_read_fails_after_the_last_attempt_at_a_part():
     packed, link = make_link(long_answer())
-    link.lost = lambda number: number > 2
+    link.loses = lambda number: number > 2
     with pytest.raises(CallTimeout):
         asyncio.run(read_whole(packed, link.call))
-    assert link.calls == 2 + PART_TRIES
+    assert link.calls == 2 + ATTEMPTS_PER_PART
 
 
-def test_a_peer_that_started_anew_says_that_it_keeps_nothing():
+def test_restarted_peer_reports_the_part_as_unknown():
     packed, _ = make_link(long_answer())
     _, other = make_link(Long(text=b""))
     with pytest.raises(PeerFailure) as caught:
@@ -96,28 +102,28 @@
     assert caught.value.code == "unknown_part"
 
 
-def test_parts_that_do_not_fit_together_are_refused():
+def test_corrupt_parts_are_rejected():
     packed, link = make_link(long_answer())
 
     async def call(request, timeout):
         part = await link.call(request, timeout)
-        return PartRead(data=part.data[::-1])
+        return AnswerPart(data=part.data[::-1])
 
     with pytest.raises(BadMessage):
         asyncio.run(read_whole(packed, call))
 
 
-def test_answers_are_kept_for_readers_of_the_same_and_let_go_after_a_while():
+def test_cached_answers_are_shared_and_evicted_by_size_and_age():
     now = [0.0]
-    shelf = PartShelf(clock=lambda: now[0])
-    first = shelf.cut(long_answer(1))
-    assert isinstance(first, Packed) and shelf.cut(long_answer(1)) == first
-    for seed in range(2, 3 + SHELF_BYTES // (5 * PART_BYTES)):
-        shelf.cut(long_answer(seed))
+    cache = LargeAnswerCache(clock=lambda: now[0])
+    first = cache.split(long_answer(1))
+    assert isinstance(first, PackedAnswer) and cache.split(long_answer(1)) == first
+    for seed in range(2, 3 + MAX_CACHED_BYTES // (5 * PART_BYTES)):
+        cache.split(long_answer(seed))
     with pytest.raises(PeerFailure):
-        asyncio.run(read_whole(first, Link(shelf).call))
-    newest = shelf.cut(long_answer(0))
+        asyncio.run(read_whole(first, Link(cache).call))
+    newest = cache.split(long_answer(0))
     now[0] = 60.0
-    shelf.cut(long_answer(1))
+    cache.split(long_answer(1))
     with pytest.raises(PeerFailure):
-        asyncio.run(read_whole(newest, Link(shelf).call))
+        asyncio.run(read_whole(newest, Link(cache).call))
--- a/guavastream/messages/tests/test_zmq.py
+++ b/guavastream/messages/tests/test_zmq.py
@@ -1,4 +1,4 @@
-"""The pyzmq transport over real sockets, through a path that forgets."""
+"""The pyzmq transport over real sockets, and through a proxy that goes silent."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 @message
 class Echo:
-    """A question that is answered with itself."""
+    """A request that is returned as its own answer."""
 
     text: str
 
@@ -45,7 +45,7 @@
     asyncio.run(run())
 
 
-def test_calls_get_their_own_answers_and_errors():
+def test_concurrent_calls_get_their_own_answers_and_errors():
     async def scenario(server, transport, replaced):
         calls = [
             transport.call(server.address, Echo(text=str(n)), timeout=5)
@@ -63,10 +63,11 @@
 
 
 def test_silent_connection_between_peers_is_replaced():
-    """A path forgets the connection: nothing comes, nothing is refused.
+    """Guards against using a connection forever after the path has lost its state.
 
-    New connections work. Calls on the old one time out until it is given up,
-    and then succeed again.
+    Nothing is delivered on the connection and no error is reported, while new
+    connections work. Calls time out until the connection is replaced, and then
+    succeed again.
     """
 
     async def scenario(server, transport, replaced):
@@ -87,7 +88,7 @@
     with_server(scenario)
 
 
-def test_answers_that_come_too_late_are_counted():
+def test_answers_that_arrive_after_the_timeout_are_counted():
     late = []
 
     async def scenario(server, transport, replaced):
@@ -107,7 +108,7 @@
     with_server(scenario, on_late=late.append)
 
 
-def test_malformed_message_is_counted_and_the_peer_told():
+def test_malformed_message_is_counted_and_answered_with_a_failure():
     async def scenario(server, transport, replaced):
         counted = []
         server._on_malformed = lambda: counted.append(1)
@@ -125,19 +126,19 @@
     with_server(scenario)
 
 
-def test_a_call_cancelled_as_its_answer_comes_ends_as_cancelled():
-    # A process is told to stop, or a leader loses its lead, in the moment in
-    # which an answer comes. A task that forgot the cancellation lived on: the
-    # process hung until it was killed, and what was left of an old lead would
-    # have gone on sending heartbeats.
+def test_call_cancelled_when_its_answer_arrives_ends_as_cancelled():
+    # Guards against a lost cancellation. A process that is stopped, or a leader that
+    # steps down, cancels a call in the same loop iteration in which its answer
+    # arrives. If the task went on, the process would hang until it is killed, and
+    # a former leader would go on sending heartbeats.
     async def main():
         transport = ZmqTransport(hybrid=HybridClock(), on_reconnect=lambda _: None)
         address = "127.0.0.1:1"
-        asked = Echo(text="x")
-        call = asyncio.ensure_future(transport.call(address, asked, timeout=5))
-        while not (channel := transport._channels.get(address)) or not channel._waiting:
+        request = Echo(text="x")
+        call = asyncio.ensure_future(transport.call(address, request, timeout=5))
+        while not (channel := transport._channels.get(address)) or not channel._pending:
             await asyncio.sleep(0)
-        next(iter(channel._waiting.values())).set_result(encode_message(asked))
+        next(iter(channel._pending.values())).set_result(encode_message(request))
         call.cancel()
         with pytest.raises(asyncio.CancelledError):
             await call
--- a/guavastream/messages/transport.py
+++ b/guavastream/messages/transport.py
@@ -1,4 +1,4 @@
-"""What a transport between processes offers: calls with one answer each."""
+"""Interfaces of transports between processes: each call has one answer."""
 
 import abc
 
@@ -10,9 +10,10 @@
 
 @message
 class Failure:
-    """Answer of a peer that could not do what it was asked.
+    """Answer of a peer that failed to handle a request.
 
-    `code` is that of the error; `leader` may name the leading control host.
+    `code` is the code of the error, and `leader` the peer address of the leading
+    control host if it is known.
     """
 
     code: str
@@ -34,58 +35,58 @@
         request : object
             A registered message.
         timeout : float
-            Seconds.
+            Seconds to wait for the answer.
 
         Raises
         ------
         CallTimeout
-            If no answer came in time; whether the peer acted is unknown.
+            If no answer arrived in time. The peer may have handled the request.
         NotLeader, PeerFailure
             As the peer answered.
         """
 
     def close(self):
-        """End what is open."""
+        """Close all connections."""
 
 
 class PeerNetwork(abc.ABC):
-    """Makes both ends of the calls between processes; one for each process."""
+    """Creates the transport and the servers of one process."""
 
     @abc.abstractmethod
     def transport(self, *, on_reconnect, on_late):
-        """Return the `Transport` on which this process calls others.
+        """Return the `Transport` by which this process calls others.
 
         Parameters
         ----------
         on_reconnect : callable
-            Told the address of each connection that was replaced as silent.
+            Called with the address of each silent connection that was replaced.
         on_late : callable
-            Told the size of each answer that came when nobody waited any more.
+            Called with the size of each answer that arrived after its call had ended.
         """
 
     @abc.abstractmethod
     def server(self, *, address, handler, on_malformed):
-        """Return what answers calls to this process, with `start` and `close`.
+        """Return a server for calls to this process, with `start` and `close`.
 
         Parameters
         ----------
         address : str
             IP:PORT to bind.
         handler : callable
-            Coroutine function from a request message to its answer.
+            Coroutine function that takes a request message and returns its answer.
         on_malformed : callable
-            Called for each message that was dropped as malformed.
+            Called for each message that is malformed or dropped.
         """
 
 
 def failure_of(error):
-    """Return the `Failure` that carries an error to the caller of a call."""
+    """Return the `Failure` message that reports an error to the calling process."""
     code = getattr(error, "code", "internal")
     return Failure(code=code, text=str(error), leader=getattr(error, "leader", ""))
 
 
 def raise_failure(answer):
-    """Return `answer`, or raise the error that it carries."""
+    """Return `answer`, or raise the error if it is a `Failure`."""
     if not isinstance(answer, Failure):
         return answer
     if answer.code == NotLeader.code:
--- a/guavastream/messages/zmq_transport.py
+++ b/guavastream/messages/zmq_transport.py
@@ -1,4 +1,4 @@
-"""Transport over pyzmq: one DEALER for each peer, one ROUTER to serve."""
+"""Transport over pyzmq: a DEALER socket for each peer and a ROUTER for serving."""
 
 import asyncio
 import itertools
@@ -23,20 +23,20 @@
 
 HEARTBEAT_MS = 400
 HEARTBEAT_TIMEOUT_MS = 1200
-SILENCE_SECONDS = 1.0
+MAX_SILENCE_SECONDS = 1.0
 HIGH_WATER_MARK = 1000
-MAX_HANDLERS = 4096
+MAX_CONCURRENT_REQUESTS = 4096
 STAMP_BYTES = 8
-# Messages that are read before others have their turn.
-MOST_READS = 100
+# Messages that a socket reads before other callbacks of the loop run.
+MAX_READS_PER_TURN = 100
 
 log = part_logger("peer")
 
 
-def _configure(socket):
-    # A connection that something between the ends has forgotten stays open
-    # and silent. ZMTP heartbeats end it within HEARTBEAT_TIMEOUT_MS on both
-    # sides; libzmq then connects anew.
+def _configure_socket(socket):
+    # If a device on the path loses its connection state, the connection stays open
+    # but delivers nothing. ZMTP heartbeats close it within HEARTBEAT_TIMEOUT_MS on
+    # both sides; libzmq then reconnects.
     socket.setsockopt(zmq.LINGER, 0)
     socket.setsockopt(zmq.HEARTBEAT_IVL, HEARTBEAT_MS)
     socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, HEARTBEAT_TIMEOUT_MS)
@@ -48,39 +48,39 @@
 
 
 class _LoopSocket:
-    """A socket whose messages are handed over by the event loop.
+    """A ZeroMQ socket that is read by callbacks of the event loop.
 
     Parameters
     ----------
     kind : int
-        Kind of the socket, as pyzmq has it.
+        Socket type, such as ``zmq.DEALER``.
     on_frames : callable
-        Takes the frames of each message.
+        Called with the frames of each message.
 
     Notes
     -----
-    pyzmq's own sockets for asyncio ask the library about its state six times
-    a message, each time with two system calls; idle hosts did little else.
-    The library tells of news only once, by a descriptor, and any call into it
-    may swallow that; so after each use the socket is read until it is empty.
+    pyzmq's own asyncio sockets query the state of the library six times a message,
+    with two system calls each; that was most of the work of idle hosts. The
+    library's file descriptor is edge-triggered, and any call into the library may
+    consume the notification, so the socket is read until it is empty after each use.
     """
 
     def __init__(self, *, kind, on_frames):
         self._loop = asyncio.get_running_loop()
         self._on_frames = on_frames
-        self._reads = None
+        self._pending_read = None
         self.socket = zmq.Context.instance().socket(kind)
-        _configure(self.socket)
+        _configure_socket(self.socket)
         self._fd = self.socket.getsockopt(zmq.FD)
         self._loop.add_reader(self._fd, self._read)
 
     def send(self, frames):
-        """Send a message without waiting.
+        """Send a message without blocking.
 
         Raises
         ------
         zmq.ZMQError
-            If it cannot be taken now.
+            If the message cannot be queued now.
         """
         try:
             self.socket.send_multipart(frames, zmq.NOBLOCK, copy=True)
@@ -88,12 +88,12 @@
             self._read_soon()
 
     def _read_soon(self):
-        if self._reads is None:
-            self._reads = self._loop.call_soon(self._read)
+        if self._pending_read is None:
+            self._pending_read = self._loop.call_soon(self._read)
 
     def _read(self):
-        self._reads = None
-        for _ in range(MOST_READS):
+        self._pending_read = None
+        for _ in range(MAX_READS_PER_TURN):
             if self.socket.closed:
                 return
             try:
@@ -101,13 +101,13 @@
             except zmq.Again:
                 return
             self._on_frames(frames)
-        # Others have their turn in between.
+        # Let other callbacks run before reading more.
         self._read_soon()
 
     def close(self):
         self._loop.remove_reader(self._fd)
-        if self._reads is not None:
-            self._reads.cancel()
+        if self._pending_read is not None:
+            self._pending_read.cancel()
         self.socket.close()
 
 
@@ -119,33 +119,33 @@
         self._clock = clock
         self._on_reconnect = on_reconnect
         self._on_late = on_late
-        self._waiting = {}
-        self._heard = 0.0
+        self._pending = {}
+        self._last_message_at = 0.0
         self._loop = asyncio.get_running_loop()
         self._open()
 
     def _open(self):
-        self._socket = _LoopSocket(kind=zmq.DEALER, on_frames=self._take)
+        self._socket = _LoopSocket(kind=zmq.DEALER, on_frames=self._on_message)
         self._socket.socket.connect(f"tcp://{self._address}")
-        self._since = self._clock.now()
+        self._connected_at = self._clock.now()
 
-    def _take(self, frames):
-        self._heard = self._clock.now()
+    def _on_message(self, frames):
+        self._last_message_at = self._clock.now()
         if len(frames) != 4:
             return
-        number, stamp, tag, body = frames
+        call_id, stamp, tag, body = frames
         self._clock.observe(stamp)
-        future = self._waiting.pop(number, None)
+        future = self._pending.pop(call_id, None)
         if future is None or future.done():
-            # Nobody waits for it any more.
+            # The call has timed out or was cancelled.
             self._on_late(len(body))
             return
         future.set_result((tag, body))
 
-    async def call(self, number, request, timeout):
+    async def call(self, call_id, request, timeout):
         future = self._loop.create_future()
-        self._waiting[number] = future
-        frames = [number, self._clock.stamp(), *encode_message(request)]
+        self._pending[call_id] = future
+        frames = [call_id, self._clock.stamp(), *encode_message(request)]
         try:
             self._socket.send(frames)
             with TimeLimit.within(timeout, loop=self._loop):
@@ -154,16 +154,16 @@
             self._replace_if_silent()
             raise CallTimeout(f"{self._address} did not answer") from None
         finally:
-            self._waiting.pop(number, None)
+            self._pending.pop(call_id, None)
         return raise_failure(decode_message(tag, body))
 
     def _replace_if_silent(self):
-        # Heartbeats see a dead path, not a peer whose socket lives while its
-        # answers are lost; a fresh connection is the cure for both.
-        silent_since = max(self._heard, self._since)
-        if self._clock.now() - silent_since < SILENCE_SECONDS:
+        # Heartbeats detect a dead path, but not a peer whose socket works while its
+        # answers are lost. A new connection helps in both cases.
+        silent_since = max(self._last_message_at, self._connected_at)
+        if self._clock.now() - silent_since < MAX_SILENCE_SECONDS:
             return
-        log.info("Replace silent connection to %s.", self._address)
+        log.info("Replacing silent connection to %s.", self._address)
         self.close()
         self._open()
         self._on_reconnect(self._address)
@@ -173,7 +173,7 @@
 
 
 class _PeerClock:
-    """Loop time for timeouts and hybrid stamps for messages."""
+    """Loop time for timeouts, and encoded hybrid clock stamps for messages."""
 
     def __init__(self, *, hybrid):
         self._hybrid = hybrid
@@ -188,16 +188,16 @@
 
 
 class ZmqTransport(Transport):
-    """Calls peers over pyzmq; create it inside a running loop.
+    """Calls peers over pyzmq. Must be created inside a running event loop.
 
     Parameters
     ----------
     hybrid : HybridClock
-        Clock whose stamps travel with every message.
+        Clock whose stamps are sent with every message.
     on_reconnect : callable, optional
-        Told the address of each connection that was replaced as silent.
+        Called with the address of each silent connection that was replaced.
     on_late : callable, optional
-        Told the size of each answer that came when nobody waited any more.
+        Called with the size of each answer that arrived after its call had ended.
     """
 
     def __init__(
@@ -211,7 +211,7 @@
         self._on_reconnect = on_reconnect
         self._on_late = on_late
         self._channels = {}
-        self._numbers = itertools.count(1)
+        self._call_ids = itertools.count(1)
 
     async def call(self, address, request, *, timeout):
         channel = self._channels.get(address)
@@ -222,8 +222,8 @@
                 on_reconnect=self._on_reconnect,
                 on_late=self._on_late,
             )
-        number = next(self._numbers).to_bytes(STAMP_BYTES, "big")
-        return await channel.call(number, request, timeout)
+        call_id = next(self._call_ids).to_bytes(STAMP_BYTES, "big")
+        return await channel.call(call_id, request, timeout)
 
     def close(self):
         """Close every connection."""
@@ -233,18 +233,19 @@
 
 
 class ZmqServer:
-    """Serves calls: each request is handled by a task of its own.
+    """Serves calls, each in its own task.
 
     Parameters
     ----------
     address : str
-        IP:PORT to bind; port 0 lets the system choose.
+        IP:PORT to bind; port 0 selects a free port.
     handler : callable
-        Coroutine function from a request message to its answer.
+        Coroutine function that takes a request message and returns its answer.
     hybrid : HybridClock
-        Clock whose stamps travel with every message.
+        Clock whose stamps are sent with every message.
     on_malformed : callable, optional
-        Called for each message that was dropped as malformed.
+        Called for each message that is malformed, or dropped because
+        `MAX_CONCURRENT_REQUESTS` requests are in progress.
     """
 
     def __init__(self, *, address, handler, hybrid, on_malformed=lambda: None):
@@ -257,32 +258,32 @@
 
     @property
     def address(self):
-        """IP:PORT that is bound."""
+        """Bound IP:PORT."""
         endpoint = self._socket.socket.getsockopt_string(zmq.LAST_ENDPOINT)
         return endpoint.removeprefix("tcp://")
 
     def start(self):
-        """Bind and begin to serve.
+        """Bind the address and start serving.
 
         Raises
         ------
-        OSError
+        zmq.ZMQError
             If the address cannot be bound.
         """
         self._clock = _PeerClock(hybrid=self._hybrid)
         self._loop = asyncio.get_running_loop()
-        self._socket = _LoopSocket(kind=zmq.ROUTER, on_frames=self._take)
+        self._socket = _LoopSocket(kind=zmq.ROUTER, on_frames=self._on_request)
         self._socket.socket.bind(f"tcp://{self._address}")
 
-    def _take(self, frames):
-        if len(frames) != 5 or len(self._tasks) >= MAX_HANDLERS:
+    def _on_request(self, frames):
+        if len(frames) != 5 or len(self._tasks) >= MAX_CONCURRENT_REQUESTS:
             self._on_malformed()
             return
         task = self._loop.create_task(self._answer(*frames))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _answer(self, peer, number, stamp, tag, body):
+    async def _answer(self, peer, call_id, stamp, tag, body):
         self._clock.observe(stamp)
         try:
             request = decode_message(tag, body)
@@ -291,22 +292,22 @@
             answer = failure_of(error)
         else:
             answer = await self._handle(request)
-        frames = [peer, number, self._clock.stamp(), *encode_message(answer)]
+        frames = [peer, call_id, self._clock.stamp(), *encode_message(answer)]
         try:
             self._socket.send(frames)
         except zmq.ZMQError as error:
-            log.debug("Answer was not sent: %s.", error)
+            log.debug("Could not send an answer: %s.", error)
 
     async def _handle(self, request):
         try:
             return await self._handler(request)
         except Exception as error:
             if not hasattr(error, "code"):
-                log.exception("Request %s failed.", type(request).__name__)
+                log.exception("Handling request %s failed.", type(request).__name__)
             return failure_of(error)
 
     def close(self):
-        """Stop serving."""
+        """Cancel the requests in progress and close the socket."""
         for task in self._tasks:
             task.cancel()
         if self._socket:
@@ -314,7 +315,7 @@
 
 
 class ZmqNetwork(PeerNetwork):
-    """Calls between processes over pyzmq; create it inside a running loop."""
+    """Network over pyzmq. Must be used inside a running event loop."""
 
     def __init__(self):
         self._hybrid = HybridClock()
--- a/guavastream/platform/__main__.py
+++ b/guavastream/platform/__main__.py
@@ -2,11 +2,11 @@
 
 import sys
 
-from guavastream.slim import leave_out_tls
+from guavastream.slim import disable_ssl_import
 
 if __name__ == "__main__":
     # Whatever imports asyncio first brings TLS into the process.
-    leave_out_tls()
+    disable_ssl_import()
     from guavastream.platform.process import main
 
     sys.exit(main())
--- a/guavastream/relay/hop.py
+++ b/guavastream/relay/hop.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from guavastream.http1 import CutOff, format_head
-from guavastream.kernel import TimeLimit, TimeLimits, replace
+from guavastream.kernel import TimeLimit, TimeLimitGroup, replace
 from guavastream.relay.admission import AdmissionQueue
 from guavastream.relay.dialect import INTERNAL_PREFIX
 from guavastream.relay.guard import Attempt
@@ -143,7 +143,7 @@
         self._body_queue = AdmissionQueue(loop=loop, slots=MAX_CONCURRENT_BODIES)
         self._link_rate = link_rate
         self._mean_body_bytes = 0.0
-        self._limits = TimeLimits(loop=loop)
+        self._limits = TimeLimitGroup(loop=loop)
 
     def end_by(self, when):
         """Answer every request by the clock's time `when` at the latest."""
--- a/guavastream/relay/ingress.py
+++ b/guavastream/relay/ingress.py
@@ -6,7 +6,7 @@
 import random
 
 from guavastream.http1 import Client, CutOff, NotSent
-from guavastream.kernel import Policy, TimeLimits, part_logger, replace
+from guavastream.kernel import Policy, TimeLimitGroup, part_logger, replace
 from guavastream.relay.budget import RetryBudget
 from guavastream.relay.dialect import INTERNAL_PREFIX
 from guavastream.relay.fingerprint import fingerprint
@@ -118,7 +118,7 @@
         self._failure_rates = {}
         # Set at the end of a stop; all further requests are refused as not run.
         self.leaving = False
-        self._limits = TimeLimits(loop=loop)
+        self._limits = TimeLimitGroup(loop=loop)
         self._reader = JobReader(
             loop=loop,
             dialect=dialect,
--- a/guavastream/slim.py
+++ b/guavastream/slim.py
@@ -1,21 +1,21 @@
-"""Keep out of memory what the daemon never uses."""
+"""Prevents the daemon from loading modules that it never uses."""
 
 import sys
 
-__all__ = ["leave_out_tls"]
+__all__ = ["disable_ssl_import"]
 
 
-def leave_out_tls():
-    """Make `import ssl` fail, before anything has imported it.
+def disable_ssl_import():
+    """Make ``import ssl`` fail, unless the module has already been imported.
 
-    It must be called before `asyncio` is imported by anything, this package's own
-    modules among them; so this module imports none of them.
+    Must be called before any module, including those of this package, imports
+    `asyncio`. Therefore this module imports nothing from the package.
 
     Notes
     -----
-    asyncio, http.client, urllib3 and cheroot import it if they can, and do
-    without if they cannot. It costs 5 MB of a budget of 32 (`guavastream
-    bench capacity`), and no process of the system speaks TLS: peers have
-    CURVE, callers and backend servers plain HTTP.
+    asyncio, http.client, urllib3 and cheroot import `ssl` if it is available and work
+    without it. It takes 5 MB of a memory budget of 32 MB (see ``guavastream bench
+    capacity``), and no process of the system uses TLS: peers use CURVE, callers and
+    backend servers plain HTTP.
     """
     sys.modules.setdefault("ssl", None)
