--- a/guavastream/platform/__init__.py
+++ b/guavastream/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to one platform: its names, formats and calls; it decides nothing."""
+"""Adapter that maps one platform's names, formats and HTTP calls to the product."""
--- a/guavastream/platform/__main__.py
+++ b/guavastream/platform/__main__.py
@@ -1,11 +1,11 @@
-"""Start one process on the platform: `python -m guavastream.platform`."""
+"""Entry point of a process on the platform: `python -m guavastream.platform`."""
 
 import sys
 
 from guavastream.slim import disable_ssl_import
 
 if __name__ == "__main__":
-    # Whatever imports asyncio first brings TLS into the process.
+    # Must run before the first import of asyncio, which loads `ssl`.
     disable_ssl_import()
     from guavastream.platform.process import main
 
--- a/guavastream/platform/emulator/__init__.py
+++ b/guavastream/platform/emulator/__init__.py
@@ -1,4 +1,4 @@
-"""A small platform on loopback: the system's processes and what they serve."""
+"""An emulated platform on loopback: guavastream processes and backend servers."""
 
 from guavastream.platform.emulator.machine import *
 from guavastream.platform.emulator.server import *
--- a/guavastream/platform/emulator/machine.py
+++ b/guavastream/platform/emulator/machine.py
@@ -1,4 +1,4 @@
-"""Processes of the system on loopback, with settings as the platform gives them."""
+"""Guavastream processes on loopback, configured by the platform's settings files."""
 
 import asyncio
 import json
@@ -11,36 +11,41 @@
 from guavastream.http1 import Client, CutOff, NotSent
 
 __all__ = [
-    "HEARTBEAT",
+    "HEARTBEAT_SECONDS",
     "Machine",
     "PORTS",
     "call",
     "free_ports",
     "make_settings",
-    "until",
+    "wait_until",
 ]
 
-HEARTBEAT = 0.3
-POLL = 0.05
+HEARTBEAT_SECONDS = 0.3
+POLL_SECONDS = 0.05
 PORTS = ("control", "outbound", "inbound", "ready", "first", "last")
 
 
-async def until(condition, seconds=30.0):
-    """Wait until a coroutine function returns something true, and return it."""
+async def wait_until(condition, seconds=30.0):
+    """Poll a coroutine function until its result is true, and return the result."""
     async with asyncio.timeout(seconds):
         while not (found := await condition()):
-            await asyncio.sleep(POLL)
+            await asyncio.sleep(POLL_SECONDS)
     return found
 
 
 async def call(address, method, path, body=None, headers=(), host=b"x"):
-    """Return status and body of one call; 0 if there was no answer."""
-    data = body if isinstance(body, bytes) else json.dumps(body).encode()
-    fields = [(b"Host", host), *headers]
+    """Send one request; return status and body, or 0 and no body without an answer."""
+    encoded_body = body if isinstance(body, bytes) else json.dumps(body).encode()
+    all_headers = [(b"Host", host), *headers]
     try:
         async with asyncio.timeout(3.0):
             async with await Client().open(address, fresh=True) as exchange:
-                exchange.send(method, path, fields, data if body is not None else b"")
+                exchange.send(
+                    method,
+                    path,
+                    all_headers,
+                    encoded_body if body is not None else b"",
+                )
                 answer = await exchange.answer()
                 return answer.status, (await answer.body.read_up_to(1 << 24))[0]
     except (NotSent, CutOff, TimeoutError):
@@ -48,20 +53,32 @@
 
 
 def free_ports(ip, count):
-    """Return ports of an IP number that were free just now, the lowest first."""
+    """Return ports that are free on an IP address, in ascending order."""
     sockets = [socket.socket() for _ in range(count)]
-    for item in sockets:
-        item.bind((ip, 0))
-    ports = sorted(item.getsockname()[1] for item in sockets)
-    for item in sockets:
-        item.close()
+    for sock in sockets:
+        sock.bind((ip, 0))
+    ports = sorted(sock.getsockname()[1] for sock in sockets)
+    for sock in sockets:
+        sock.close()
     return ports
 
 
-def make_settings(name, ip, ports, seeds, **changes):
-    """Return the text of a settings file."""
+def make_settings(name, ip, ports, seeds, **overrides):
+    """Return the text of a settings file.
+
+    Parameters
+    ----------
+    name, ip : str
+        Name and address of the process.
+    ports : list of int
+        One port for each of `PORTS`.
+    seeds : list of str
+        Addresses of the control hosts.
+    **overrides
+        Further settings, or other values, by the names of settings.
+    """
     port = dict(zip(PORTS, ports, strict=True))
-    fields = {
+    values = {
         "NodeName": name,
         "Ip": ip,
         "Zone": "a",
@@ -69,52 +86,54 @@
         "InternalPorts": f"{port['first']},{port['last']}",
         "Seeds": ",".join(seeds),
         "Bootstrap": "true",
-        "Heartbeat": f"{int(HEARTBEAT * 1000)}ms",
+        "Heartbeat": f"{int(HEARTBEAT_SECONDS * 1000)}ms",
         "FaultTolerance.Machines": "1",
         "Bounds.Grace": "6s",
-        **changes,
+        **overrides,
     }
-    return "".join(f"{name}={value}\n" for name, value in fields.items())
+    return "".join(f"{name}={value}\n" for name, value in values.items())
 
 
 @dataclass
 class Machine:
-    """One process of the system on an address of its own."""
+    """One guavastream process with its own IP address."""
 
     name: str
     ip: str
     ports: list
     folder: object
     process: object = None
-    # Whether a fault is at work on the process.
-    struck: bool = False
-    # Whether it is told to stop, or killed.
-    ending: bool = False
+    # Whether an injected fault affects the process now.
+    has_fault: bool = False
+    # Whether the process has been told to stop or killed by a fault.
+    is_ending: bool = False
 
     def address(self, port):
-        """Return IP:PORT of one of `PORTS`."""
+        """Return the IP:PORT of a port, named as in `PORTS`."""
         return f"{self.ip}:{self.ports[PORTS.index(port)]}"
 
-    async def start(self, seeds, **changes):
-        """Start the process; changed settings are given by their names."""
-        path = self.folder / f"{self.name}.conf"
-        path.write_text(make_settings(self.name, self.ip, self.ports, seeds, **changes))
+    async def start(self, seeds, **overrides):
+        """Start the process; `overrides` are passed on to `make_settings`."""
+        settings_path = self.folder / f"{self.name}.conf"
+        settings_path.write_text(
+            make_settings(self.name, self.ip, self.ports, seeds, **overrides)
+        )
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "guavastream.platform",
-            env=os.environ | {"GUAVASTREAM_BOOT": str(path)},
+            env=os.environ | {"GUAVASTREAM_BOOT": str(settings_path)},
             stdout=(self.folder / f"{self.name}.log").open("ab"),
             stderr=(self.folder / f"{self.name}.err").open("ab"),
         )
 
     def log(self):
-        """Return what its processes have written."""
+        """Return the log of all processes started on this machine so far."""
         path = self.folder / f"{self.name}.log"
         return path.read_text(errors="replace") if path.exists() else ""
 
-    async def end(self, number=signal.SIGKILL):
-        """Send a signal and wait until the process has ended."""
+    async def terminate(self, signal_number=signal.SIGKILL):
+        """Send a signal to the process, if it runs, and return its exit status."""
         if self.process.returncode is None:
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
         return await self.process.wait()
--- a/guavastream/platform/emulator/world.py
+++ b/guavastream/platform/emulator/world.py
@@ -1,4 +1,4 @@
-"""A whole small platform: control hosts, hosts beside servers, an operator."""
+"""A whole emulated platform: control hosts, backend servers and their hosts."""
 
 import asyncio
 import contextlib
@@ -13,14 +13,14 @@
     Machine,
     call,
     free_ports,
-    until,
+    wait_until,
 )
 from guavastream.platform.emulator.server import BackendServer
 
-__all__ = ["Place", "ROUTES", "World", "make_config", "make_route"]
+__all__ = ["EmulatedHost", "ROUTES", "EmulatedPlatform", "make_config", "make_route"]
 
-HOST = b"a.example"
-# What callers ask: kind of route, service and method, by the path's first part.
+ROUTE_HOST = b"a.example"
+# Kind, service and method of each route, by the first segment of its path.
 ROUTES = {
     "read": ("safe", "keyed", b"GET"),
     "pay": ("unsafe", "keyed", b"POST"),
@@ -28,21 +28,21 @@
     "load": ("upload", "plain", b"POST"),
 }
 SERVICES = ("keyed", "plain")
-# A leaving server serves on for this long, seconds.
-LEAVE_SECONDS = 2.2
-# By this each piece on a slow connection is held back, seconds.
-SLOW_SECONDS = 0.2
-# A control host that is back has caught up after this, seconds; one without
-# its disk only once the leader has said so.
+# Time for which a leaving server continues to serve.
+SERVE_AFTER_LEAVE_SECONDS = 2.2
+# Delay of each chunk of data on a slow connection.
+SLOW_CHUNK_DELAY_SECONDS = 0.2
+# Time in which a restarted control host catches up. One that lost its disk has done so
+# only once the leader has logged that it votes again.
 CATCH_UP_SECONDS = 2.0
-NEW_VOTER = "votes now"
+NEW_VOTER_LOG_TEXT = "votes now"
 
 
 def make_route(name, **changes):
-    """Return a route of the configuration, by its name in `ROUTES`."""
+    """Return the configuration of a route of `ROUTES`, with some fields changed."""
     kind, service, _ = ROUTES[name]
     return {
-        "Host": HOST.decode(),
+        "Host": ROUTE_HOST.decode(),
         "PathPrefix": f"/{name}/",
         "Kind": kind,
         "Timeout": "2s",
@@ -54,7 +54,7 @@
 
 
 def make_config(version, *, granting="heartbeat"):
-    """Return the first configuration."""
+    """Return a configuration of all routes and services."""
     return {
         "Version": f"{version:08x}",
         "Routes": {name: make_route(name) for name in ROUTES},
@@ -77,34 +77,34 @@
 
 
 @dataclass
-class Place:
-    """A host beside a server: its process, the server's life, the path to it."""
+class EmulatedHost:
+    """A host with a backend server: its process, the server, and the proxy between."""
 
     machine: Machine
     service: str
     server: object = None
     proxy: object = None
     task: object = None
-    lives: int = 0
+    instance_count: int = 0
 
 
-class World:
-    """Three control hosts, and some hosts with a backend server each.
+class EmulatedPlatform:
+    """Three control hosts, and hosts with one backend server each.
 
     Parameters
     ----------
     folder : Path
-        For settings, data and logs.
+        Directory for settings, data and logs.
     keyed, plain : int
-        Servers of each service.
+        Number of servers of each service.
     granting : str
         How servers are granted keys, "heartbeat" or "request".
-    late : float
-        Share of the orders about keys that are carried out late.
-    idle : float, optional
-        Idle limit of callers' connections, seconds.
+    late_share : float
+        Share of grant calls that get no answer and are executed late.
+    idle_seconds : float, optional
+        Idle timeout of callers' connections, seconds.
     on_start : callable
-        Told each `BackendServer` before it begins to serve.
+        Called with each `BackendServer` before it begins to serve.
     """
 
     def __init__(
@@ -114,254 +114,276 @@
         keyed=3,
         plain=2,
         granting="heartbeat",
-        late=0.0,
-        idle=None,
+        late_share=0.0,
+        idle_seconds=None,
         on_start=lambda server: None,
     ):
-        # Addresses of this run's own, so that runs side by side do not meet.
-        net = f"127.{100 + os.getpid() % 100}.{os.getpid() // 100 % 250}"
-        ports = free_ports(f"{net}.1", len(PORTS))
+        # Addresses depend on the process id, so that concurrent runs don't collide.
+        ip_prefix = f"127.{100 + os.getpid() % 100}.{os.getpid() // 100 % 250}"
+        ports = free_ports(f"{ip_prefix}.1", len(PORTS))
         self.folder = folder
         self.granting = granting
-        self._late = late
-        self._idle = idle
-        self.control = [
-            Machine(f"core-{n}", f"{net}.{n}", ports, folder) for n in (1, 2, 3)
+        self._late_share = late_share
+        self._idle_seconds = idle_seconds
+        self.control_hosts = [
+            Machine(f"core-{n}", f"{ip_prefix}.{n}", ports, folder) for n in (1, 2, 3)
         ]
-        names = ["keyed"] * keyed + ["plain"] * plain
-        self.places = [
-            Place(Machine(f"side-{n}", f"{net}.{n}", ports, folder), service)
-            for n, service in enumerate(names, 11)
+        service_names = ["keyed"] * keyed + ["plain"] * plain
+        self.server_hosts = [
+            EmulatedHost(
+                Machine(f"side-{n}", f"{ip_prefix}.{n}", ports, folder), service
+            )
+            for n, service in enumerate(service_names, 11)
         ]
         self._on_start = on_start
-        self._struck_at = {}
-        self._seeds = [machine.address("control") for machine in self.control]
+        self._last_fault_at = {}
+        self._seeds = [machine.address("control") for machine in self.control_hosts]
 
     # Processes
 
     async def start(self):
-        """Start everything and send the first configuration."""
-        for machine in self.control:
-            await self.start_control(machine, first=True)
-        for place in self.places:
-            await self.start_host(place)
-            self.start_server(place)
-        await until(self._sent_first)
-        await until(self.is_ready)
+        """Start all processes and servers, and send the first configuration."""
+        for machine in self.control_hosts:
+            await self.start_control(machine, bootstrap=True)
+        for server_host in self.server_hosts:
+            await self.start_host(server_host)
+            self.start_server(server_host)
+        await wait_until(self._send_first_config)
+        await wait_until(self.is_ready)
 
     def make_config(self, version):
-        """Return the first configuration, with servers granted keys as here."""
+        """Return a configuration with this platform's granting and idle timeout."""
         config = make_config(version, granting=self.granting)
-        if self._idle is not None:
-            config["Limits"]["IdleTimeout"] = f"{int(self._idle * 1000)}ms"
+        if self._idle_seconds is not None:
+            config["Limits"]["IdleTimeout"] = f"{int(self._idle_seconds * 1000)}ms"
         return config
 
-    async def _sent_first(self):
-        status, _ = await self.change(self.control[0], self.make_config(1), 0)
+    async def _send_first_config(self):
+        status, _ = await self.send_change(
+            self.control_hosts[0], self.make_config(1), 0
+        )
         return status == 200
 
-    async def start_control(self, machine, *, first=False):
-        """Start a control host's process."""
+    async def start_control(self, machine, *, bootstrap=False):
+        """Start the process of a control host."""
         await machine.start(
             self._seeds,
             Serves="control_plane",
             DataDir=self.folder / machine.name,
-            Bootstrap=str(first).lower(),
+            Bootstrap=str(bootstrap).lower(),
         )
 
-    async def start_host(self, place):
-        """Start the process beside a server."""
-        machine = place.machine
+    async def start_host(self, server_host):
+        """Start the process of a host with a backend server."""
+        machine = server_host.machine
         listen = {
             f"Listen.{name}": machine.address(name.lower())
             for name in ("Outbound", "Inbound", "Ready")
         }
         await machine.start(
-            self._seeds, Serves="sidecar", Service=place.service, **listen
+            self._seeds, Serves="sidecar", Service=server_host.service, **listen
         )
 
-    def start_server(self, place, *, again=False):
-        """Begin a new life of the server at a place.
+    def start_server(self, server_host, *, same_id=False):
+        """Start a new instance of the backend server of a host.
 
-        With `again` it has the id that it had; else nobody knows it.
+        With `same_id` it keeps its id; otherwise it gets an id not used before.
         """
-        place.lives += not again
+        server_host.instance_count += not same_id
         server = BackendServer.make(
-            id=f"{place.machine.name}-{place.lives}",
-            control=place.machine.address("control"),
-            address=(place.machine.ip, 0),
-            service=place.service,
+            id=f"{server_host.machine.name}-{server_host.instance_count}",
+            control_address=server_host.machine.address("control"),
+            address=(server_host.machine.ip, 0),
+            service=server_host.service,
             seconds=0.03,
-            ordered=self.granting == "request" and place.service == "keyed",
-            late=self._late,
+            call_granted=self.granting == "request" and server_host.service == "keyed",
+            late_share=self._late_share,
         )
-        place.server = server
+        server_host.server = server
         self._on_start(server)
-        place.task = asyncio.ensure_future(self._serve(place, server))
+        server_host.task = asyncio.ensure_future(self._serve(server_host, server))
 
-    async def _serve(self, place, server):
+    async def _serve(self, server_host, server):
         await server.server.start()
-        proxy = place.proxy = FaultProxy(target=server.server.address)
-        server.announced = proxy.address
+        proxy = server_host.proxy = FaultProxy(target=server.server.address)
+        server.announced_address = proxy.address
         try:
             await server.send_heartbeats()
         finally:
             proxy.close()
 
-    async def crash_server(self, place):
-        """End a server's life as a crash does."""
-        place.task.cancel()
-        await asyncio.gather(place.task, return_exceptions=True)
+    async def crash_server(self, server_host):
+        """Stop a server without a departure, as a crash does."""
+        server_host.task.cancel()
+        await asyncio.gather(server_host.task, return_exceptions=True)
 
     async def is_ready(self):
-        """Whether all hosts are ready and all servers with keys hold some."""
-        for place in self.places:
-            address = place.machine.address("ready")
+        """Return whether all hosts are ready and all keyed servers hold keys."""
+        for server_host in self.server_hosts:
+            address = server_host.machine.address("ready")
             status, _ = await call(address, b"GET", b"/api/readiness")
             if status != 200:
                 return False
-            if place.service == "keyed" and not place.server.has_keys:
+            if server_host.service == "keyed" and not server_host.server.has_keys:
                 return False
         return True
 
     async def stop(self):
-        """End all processes."""
-        for place in self.places:
-            if place.task:
-                await self.crash_server(place)
-        for machine in [*self.control, *(place.machine for place in self.places)]:
+        """Stop all servers and kill all processes."""
+        for server_host in self.server_hosts:
+            if server_host.task:
+                await self.crash_server(server_host)
+        for machine in [
+            *self.control_hosts,
+            *(server_host.machine for server_host in self.server_hosts),
+        ]:
             if machine.process:
                 with contextlib.suppress(ProcessLookupError):
                     machine.process.send_signal(signal.SIGCONT)
-                await machine.end()
+                await machine.terminate()
 
     # Callers and operators
 
-    async def ask(self, client, place, name, id, key, body, rest="x"):
-        """Send a request to a host; return status and body, 0 if none came."""
+    async def send_request(
+        self, client, server_host, name, id, key, body, path_suffix="x"
+    ):
+        """Send a request to a host; return the status and the body of the answer."""
         _, service, method = ROUTES[name]
-        headers = [(b"Host", HOST), (b"Request-Id", id), (b"Deadline-Ms", b"2000")]
+        headers = [
+            (b"Host", ROUTE_HOST),
+            (b"Request-Id", id),
+            (b"Deadline-Ms", b"2000"),
+        ]
         if service == "keyed":
             headers.append((b"Shard-Key", b"%d" % key))
-        address = place.machine.address("outbound")
+        address = server_host.machine.address("outbound")
         async with await client.open(address) as exchange:
-            exchange.send(method, f"/{name}/{rest}".encode(), headers, body)
+            exchange.send(method, f"/{name}/{path_suffix}".encode(), headers, body)
             answer = await exchange.answer()
             data, _ = await answer.body.read_up_to(1 << 24)
             return answer.status, data
 
-    async def change(self, machine, body, base, *, method=b"PUT"):
-        """Send one change; return its status, 0 if there was none."""
+    async def send_change(self, machine, body, base_version, *, method=b"PUT"):
+        """Send a configuration change; return status (0 without an answer) and body."""
         address = machine.address("control")
-        headers = [(b"If-Match", f"{base:08x}".encode())]
+        headers = [(b"If-Match", f"{base_version:08x}".encode())]
         return await call(address, method, b"/api/config", body, headers)
 
-    async def read(self, machine):
-        """Return the answer to a read of the configuration."""
+    async def read_config(self, machine):
+        """Read the configuration; return status (0 without an answer) and body."""
         return await call(machine.address("control"), b"GET", b"/api/config")
 
     # Faults
 
-    def is_calm(self, places, seconds):
-        """Whether no fault struck a control host, or one of the places, for so long."""
-        machines = [*self.control, *(place.machine for place in places)]
+    def is_fault_free(self, server_hosts, seconds):
+        """Return whether the processes had no injected fault for some seconds.
+
+        These are the processes of all control hosts and of `server_hosts`.
+        """
+        machines = [
+            *self.control_hosts,
+            *(server_host.machine for server_host in server_hosts),
+        ]
         since = asyncio.get_running_loop().time() - seconds
         return not any(
-            machine.struck or self._struck_at.get(machine.name, 0.0) > since
+            machine.has_fault or self._last_fault_at.get(machine.name, 0.0) > since
             for machine in machines
         )
 
-    async def harm(self, place, server, seconds, *, silent):
-        """Let a server end under a request, and come back.
+    async def crash_under_request(self, server_host, server, seconds, *, silent):
+        """Crash a server while it runs a request, and restart it after `seconds`.
 
-        Its connections break, or are `silent` until the other end gives up.
+        Its connections are cut; with `silent` they stay open but carry
+        nothing until the other end gives up.
         """
-        if place.server is not server or server.state != "ready":
+        if server_host.server is not server or server.state != "ready":
             return
         server.state = "ending"
         if not silent:
-            place.proxy.cut_open()
-        await self.crash_server(place)
+            server_host.proxy.cut_open()
+        await self.crash_server(server_host)
         await asyncio.sleep(seconds)
-        self.start_server(place, again=True)
+        self.start_server(server_host, same_id=True)
 
-    async def strike(self, fault):
-        """Let a fault happen and, where it ends by itself, end it."""
+    async def inject_fault(self, fault):
+        """Inject a fault; return after its end if it ends by itself."""
         if fault.group == "server":
-            await self._strike_server(self.places[fault.target], fault)
+            await self._inject_server_fault(self.server_hosts[fault.target], fault)
             return
         if fault.group == "control":
-            machine = self.control[fault.target]
-            if any(other.struck for other in self.control):
-                # The group bears one at a time.
+            machine = self.control_hosts[fault.target]
+            if any(other.has_fault for other in self.control_hosts):
+                # A group of three tolerates one failed control host at a time.
                 return
 
             async def restart():
                 voters = self._count_new_voters()
                 await self.start_control(machine)
                 if fault.kind == "wipe":
-                    await until(lambda: self._has_new_voters(voters))
+                    await wait_until(lambda: self._has_new_voters(voters))
                 await asyncio.sleep(CATCH_UP_SECONDS)
         else:
-            place = self.places[fault.target]
-            machine = place.machine
+            server_host = self.server_hosts[fault.target]
+            machine = server_host.machine
 
             async def restart():
-                await self.start_host(place)
+                await self.start_host(server_host)
 
-        await self._strike_process(machine, fault, restart)
+        await self._inject_process_fault(machine, fault, restart)
 
     def _count_new_voters(self):
-        return sum(machine.log().count(NEW_VOTER) for machine in self.control)
+        return sum(
+            machine.log().count(NEW_VOTER_LOG_TEXT) for machine in self.control_hosts
+        )
 
     async def _has_new_voters(self, before):
         return self._count_new_voters() > before
 
-    async def _strike_process(self, machine, fault, restart):
-        if machine.process.returncode is not None or machine.struck:
+    async def _inject_process_fault(self, machine, fault, restart):
+        if machine.process.returncode is not None or machine.has_fault:
             return
-        machine.struck = True
+        machine.has_fault = True
         try:
             if fault.kind == "freeze":
                 machine.process.send_signal(signal.SIGSTOP)
                 await asyncio.sleep(fault.seconds)
                 machine.process.send_signal(signal.SIGCONT)
                 return
-            number = signal.SIGTERM if fault.kind == "stop" else signal.SIGKILL
-            machine.ending = True
-            await machine.end(number)
+            signal_number = signal.SIGTERM if fault.kind == "stop" else signal.SIGKILL
+            machine.is_ending = True
+            await machine.terminate(signal_number)
             if fault.kind == "wipe":
                 shutil.rmtree(self.folder / machine.name)
             await asyncio.sleep(fault.seconds)
             await restart()
         finally:
-            machine.struck = machine.ending = False
-            self._struck_at[machine.name] = asyncio.get_running_loop().time()
+            machine.has_fault = machine.is_ending = False
+            self._last_fault_at[machine.name] = asyncio.get_running_loop().time()
 
-    async def _strike_server(self, place, fault):
-        server, proxy = place.server, place.proxy
-        if proxy is None or place.machine.struck:
+    async def _inject_server_fault(self, server_host, fault):
+        server, proxy = server_host.server, server_host.proxy
+        if proxy is None or server_host.machine.has_fault:
             return
         if fault.kind == "cut":
             proxy.cut_open()
         elif fault.kind == "silence":
             proxy.silence()
         elif fault.kind == "slow":
-            proxy.delay = SLOW_SECONDS
+            proxy.delay = SLOW_CHUNK_DELAY_SECONDS
             await asyncio.sleep(fault.seconds)
             proxy.delay = 0.0
-        elif not place.task.done() and server.state == "ready":
-            await self._end_server(place, fault, server)
+        elif not server_host.task.done() and server.state == "ready":
+            await self._end_server(server_host, fault, server)
 
-    async def _end_server(self, place, fault, server):
+    async def _end_server(self, server_host, fault, server):
         server.state = "ending"
         if fault.kind == "drain":
             server.state = "draining"
-            await asyncio.sleep(LEAVE_SECONDS + fault.seconds)
+            await asyncio.sleep(SERVE_AFTER_LEAVE_SECONDS + fault.seconds)
         if fault.kind != "crash":
-            await server.leave()
+            await server.send_departure()
         if fault.kind == "leave":
-            await asyncio.sleep(LEAVE_SECONDS)
-        await self.crash_server(place)
+            await asyncio.sleep(SERVE_AFTER_LEAVE_SECONDS)
+        await self.crash_server(server_host)
         await asyncio.sleep(fault.seconds)
-        self.start_server(place, again=fault.kind == "crash")
+        self.start_server(server_host, same_id=fault.kind == "crash")
--- a/guavastream/platform/keys.py
+++ b/guavastream/platform/keys.py
@@ -1,4 +1,4 @@
-"""Orders about keys as the platform's backend servers take them."""
+"""Grant and release calls in the format of the platform's backend servers."""
 
 import msgspec
 
@@ -6,37 +6,38 @@
 from guavastream.relay import KeyDialect, KeyOutcome, KeyResult
 from guavastream.routes import Granting
 
-__all__ = ["GRANTING", "KeyOrders"]
+__all__ = ["GRANTING_BY_NAME", "PlatformKeyDialect"]
 
-# Words of settings and configurations for how servers are granted keys.
-GRANTING = {"heartbeat": Granting.HEARTBEAT, "request": Granting.CALL}
+# Values of `Grants` in settings and configurations.
+GRANTING_BY_NAME = {"heartbeat": Granting.HEARTBEAT, "request": Granting.CALL}
 
 GRANT_PATH = b"/api/grant"
 RELEASE_PATH = b"/api/release"
-OUTCOMES = {
+OUTCOME_BY_STATUS = {
     200: KeyOutcome.DONE,
     409: KeyOutcome.FENCED,
-    # Another server has the address now, or the call cannot be read.
+    # The server could not parse the call (400), or another server has taken over
+    # the address (421).
     400: KeyOutcome.REJECTED,
     421: KeyOutcome.REJECTED,
 }
-# A handover that is longer is none of the platform's; without it the next
-# holder is slow for a while, with it every message about the row would be big.
-MOST_HANDOVER = 256
+# Longer handovers are invalid and dropped: the next owner of the keys is slow for a
+# while, but messages that carry the row stay small.
+MAX_HANDOVER_LENGTH = 256
 
 
-class _Order(msgspec.Struct, rename="pascal", omit_defaults=True):
-    # The last key, not a version.
+class _KeyCallBody(msgspec.Struct, rename="pascal", omit_defaults=True):
+    # Despite its name, this is the last key of the range, not a version.
     target_version: int
     fence: int = msgspec.field(name="fence")
-    # "From" alone would be a keyword in Python.
+    # `from` is a Python keyword.
     first: int = msgspec.field(name="From")
     hold: str = ""
     handover: str = ""
 
 
-class KeyOrders(KeyDialect):
-    """Grants and releases as calls at a backend server's own address."""
+class PlatformKeyDialect(KeyDialect):
+    """Encodes grants and releases as HTTP calls to a backend server's own address."""
 
     def headers(self, instance):
         return [
@@ -46,22 +47,22 @@
         ]
 
     def encode(self, call):
-        order = _Order(
+        body = _KeyCallBody(
             first=call.first,
             target_version=call.last,
             fence=call.fence,
             hold=format_time(call.hold) if call.hold else "",
             handover=call.handover if call.hold else "",
         )
-        return GRANT_PATH if call.hold else RELEASE_PATH, msgspec.json.encode(order)
+        return GRANT_PATH if call.hold else RELEASE_PATH, msgspec.json.encode(body)
 
     def decode(self, status, headers):
-        outcome = OUTCOMES.get(status)
+        outcome = OUTCOME_BY_STATUS.get(status)
         if headers.get(b"not-executed"):
             outcome = KeyOutcome.REJECTED
         if outcome is None:
             return None
         handover = headers.get(b"handover")
-        if len(handover) > MOST_HANDOVER or not handover.isascii():
+        if len(handover) > MAX_HANDOVER_LENGTH or not handover.isascii():
             handover = b""
         return KeyResult(outcome=outcome, handover=handover.decode())
--- a/guavastream/platform/process.py
+++ b/guavastream/platform/process.py
@@ -1,4 +1,4 @@
-"""One process on the platform: settings, start, reload and stop."""
+"""Lifecycle of a process on the platform: settings, start, reload and stop."""
 
 import asyncio
 import contextlib
@@ -15,28 +15,28 @@
     parse_address,
     part_logger,
 )
-from guavastream.platform.api import BesideApi, OperatorApi
-from guavastream.platform.keys import KeyOrders
+from guavastream.platform.api import OperatorApi, ServerHostApi
+from guavastream.platform.keys import PlatformKeyDialect
 from guavastream.platform.settings import SETTINGS_VARIABLE, read_settings
 from guavastream.platform.wire import DIALECT
 
 __all__ = ["main", "run"]
 
-# The settings may change without a signal.
-REREAD_SECONDS = 1.0
+# The settings file is also polled, since it may change without a SIGHUP.
+RELOAD_POLL_SECONDS = 1.0
 
 log = part_logger("platform")
 
 
 async def run(settings):
-    """Serve until told to stop."""
+    """Serve until SIGTERM, SIGINT or a failure of the host."""
     stop = asyncio.Event()
     reload = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, reload.set)
-    host, handlers = _make(settings)
+    host, handlers = _create_host(settings)
     servers = [
         Server(address=parse_address(address), handler=handler)
         for address, handler in handlers
@@ -45,57 +45,64 @@
     for server in servers:
         await server.start()
     log.info("Serving.")
-    rereading = asyncio.ensure_future(_reread(host, reload))
-    failed = asyncio.ensure_future(host.wait_failed())
-    stopped = asyncio.ensure_future(stop.wait())
+    reload_task = asyncio.ensure_future(_reload_seeds(host, reload))
+    failed_task = asyncio.ensure_future(host.wait_failed())
+    stopped_task = asyncio.ensure_future(stop.wait())
     try:
-        await asyncio.wait({failed, stopped}, return_when=asyncio.FIRST_COMPLETED)
-        if failed.done():
-            failed.result()
+        await asyncio.wait(
+            {failed_task, stopped_task}, return_when=asyncio.FIRST_COMPLETED
+        )
+        if failed_task.done():
+            failed_task.result()
         if hasattr(host, "drain"):
             await host.drain()
     finally:
-        rereading.cancel()
+        reload_task.cancel()
         for server in servers:
             await server.stop()
         await host.stop()
 
 
-def _make(settings):
+def _create_host(settings):
     if settings.data:
         from guavastream.hosts.control_host import ControlHost
 
         host = ControlHost(settings=settings)
-        handlers = [(settings.api, OperatorApi(host=host).control)]
+        handlers = [(settings.api, OperatorApi(host=host).handle_config)]
     else:
         from guavastream.hosts.server_host import ServerHost
 
-        host = ServerHost(settings=settings, dialect=DIALECT, key_dialect=KeyOrders())
-        api = BesideApi(host=host, settings=settings)
-        handlers = [(settings.api, api.control), (settings.ready, api.ready)]
+        host = ServerHost(
+            settings=settings, dialect=DIALECT, key_dialect=PlatformKeyDialect()
+        )
+        api = ServerHostApi(host=host, settings=settings)
+        handlers = [
+            (settings.api, api.handle_instance),
+            (settings.ready, api.handle_readiness),
+        ]
     handlers.append((settings.metrics, AdminApi(host=host).handle))
     return host, handlers
 
 
-async def _reread(host, reload):
-    """Take new seeds from the settings file, on SIGHUP or when it changed."""
-    seen = _changed_at()
+async def _reload_seeds(host, reload):
+    """Reload the seeds when the settings file changes or SIGHUP arrives."""
+    known_stamp = _settings_file_stamp()
     while True:
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(REREAD_SECONDS):
+            async with asyncio.timeout(RELOAD_POLL_SECONDS):
                 await reload.wait()
-        if _changed_at() == seen and not reload.is_set():
+        if _settings_file_stamp() == known_stamp and not reload.is_set():
             continue
         reload.clear()
-        seen = _changed_at()
+        known_stamp = _settings_file_stamp()
         try:
             host.take_seeds(read_settings().seeds)
-            log.info("Settings were read again.")
+            log.info("Reloaded the settings file.")
         except FindingsError as error:
-            log.error("The changed settings are not used: %s.", error)
+            log.error("Ignored the changed settings file, which is invalid: %s.", error)
 
 
-def _changed_at():
+def _settings_file_stamp():
     try:
         status = os.stat(os.environ.get(SETTINGS_VARIABLE, ""))
     except OSError:
@@ -116,6 +123,6 @@
         with asyncio.Runner(loop_factory=new_event_loop) as runner:
             runner.run(run(settings))
     except GuavastreamError as error:
-        log.error("Cannot go on: %s: %s.", error.code, error)
+        log.error("The process ends with an error: %s: %s.", error.code, error)
         return 1
     return 0
--- a/guavastream/platform/settings.py
+++ b/guavastream/platform/settings.py
@@ -1,11 +1,11 @@
-"""Read the platform's settings file into the product's settings."""
+"""Parse the platform's settings file into `FleetSettings`."""
 
 import os
 
 from guavastream.exception import Finding, FindingsError
 from guavastream.hosts import FleetSettings
 from guavastream.kernel import POLICY_VARIABLE, Policy, parse_address
-from guavastream.platform.keys import GRANTING
+from guavastream.platform.keys import GRANTING_BY_NAME
 from guavastream.platform.units import parse_time
 from guavastream.routes import Granting
 
@@ -14,14 +14,19 @@
 SETTINGS_VARIABLE = "GUAVASTREAM_BOOT"
 DEFAULT_PATH = "/etc/guavastream/settings.conf"
 REQUIRED = ("NodeName", "Zone", "Ip", "InternalPorts", "Seeds", "Listen.Control")
-REQUIRED_BESIDE = ("Listen.Outbound", "Listen.Inbound", "Listen.Ready", "Service")
-REQUIRED_CONTROL = ("DataDir",)
+REQUIRED_ON_SERVER_HOST = (
+    "Listen.Outbound",
+    "Listen.Inbound",
+    "Listen.Ready",
+    "Service",
+)
+REQUIRED_ON_CONTROL_HOST = ("DataDir",)
 SIDECAR = "sidecar"
-MBIT_BYTES = 125_000
+BYTES_PER_MBIT = 125_000
 
 
 def read_settings(environ=None):
-    """Read the file that the environment names.
+    """Read the settings file named by the environment variable GUAVASTREAM_BOOT.
 
     Raises
     ------
@@ -41,7 +46,14 @@
 
 
 def parse_settings(text, policy=""):
-    """Return the `FleetSettings` of a settings file and a text of switches.
+    """Return the `FleetSettings` described by a settings file.
+
+    Parameters
+    ----------
+    text : str
+        Lines of the form NAME=VALUE; unknown names are ignored.
+    policy : str
+        Switches in the format of `Policy.parse`.
 
     Raises
     ------
@@ -61,34 +73,39 @@
         name, equals, value = line.partition("=")
         if equals:
             raw[name.strip()] = value.strip()
-    reader = _Reader(raw)
-    beside = SIDECAR in reader.words("Serves")
-    reader.require(REQUIRED + (REQUIRED_BESIDE if beside else REQUIRED_CONTROL))
-    ports = reader.take("InternalPorts", _ports, (0, 0))
+    reader = _SettingsReader(raw)
+    is_sidecar = SIDECAR in reader.get_list("Serves")
+    reader.require(
+        REQUIRED + (REQUIRED_ON_SERVER_HOST if is_sidecar else REQUIRED_ON_CONTROL_HOST)
+    )
+    ports = reader.get_parsed("InternalPorts", _parse_port_range, (0, 0))
     peer_port, last_port = ports
     ip = raw.get("Ip", "")
     settings = {
         "host": raw.get("NodeName", ""),
         "zone": raw.get("Zone", ""),
         "service": raw.get("Service", ""),
-        "outbound": reader.address("Listen.Outbound") if beside else "",
-        "inbound": reader.address("Listen.Inbound") if beside else "",
-        "ready": reader.address("Listen.Ready") if beside else "",
-        "api": reader.address("Listen.Control"),
+        "outbound": reader.get_address("Listen.Outbound") if is_sidecar else "",
+        "inbound": reader.get_address("Listen.Inbound") if is_sidecar else "",
+        "ready": reader.get_address("Listen.Ready") if is_sidecar else "",
+        "api": reader.get_address("Listen.Control"),
         "peer": f"{ip}:{peer_port}",
         "seeds": tuple(
-            f"{seed.rpartition(':')[0]}:{peer_port}" for seed in reader.words("Seeds")
+            f"{seed.rpartition(':')[0]}:{peer_port}"
+            for seed in reader.get_list("Seeds")
         ),
         "data": raw.get("DataDir", ""),
         "first_start": raw.get("Bootstrap", "") == "true",
-        "losses": reader.take("FaultTolerance.Machines", int, 0),
-        "heartbeat": reader.take("Heartbeat", parse_time, 1.0),
-        "longest_hold": reader.take("Bounds.MaxHold", parse_time, 10.0),
-        "retry_ratio": reader.take("Bounds.RetryBudgetRatio", float, 0.2),
-        "granting": GRANTING.get(raw.get("Grants", "heartbeat"), Granting.UNKNOWN),
-        "link_rate": reader.take("Limits.LinkMbps", _rate, 0.0),
-        "grace": reader.take("Bounds.Grace", parse_time, 6.0),
-        "policy": reader.policy(policy),
+        "losses": reader.get_parsed("FaultTolerance.Machines", int, 0),
+        "heartbeat": reader.get_parsed("Heartbeat", parse_time, 1.0),
+        "longest_hold": reader.get_parsed("Bounds.MaxHold", parse_time, 10.0),
+        "retry_ratio": reader.get_parsed("Bounds.RetryBudgetRatio", float, 0.2),
+        "granting": GRANTING_BY_NAME.get(
+            raw.get("Grants", "heartbeat"), Granting.UNKNOWN
+        ),
+        "link_rate": reader.get_parsed("Limits.LinkMbps", _parse_link_rate, 0.0),
+        "grace": reader.get_parsed("Bounds.Grace", parse_time, 6.0),
+        "policy": reader.get_policy(policy),
         "metrics": f"{ip}:{last_port}" if peer_port else "",
     }
     if reader.findings:
@@ -96,24 +113,26 @@
     return FleetSettings(**settings)
 
 
-def _rate(text):
-    """Return the bytes a second of a number of Mbit/s."""
-    rate = float(text) * MBIT_BYTES
+def _parse_link_rate(text):
+    """Convert a link rate in Mbit/s to bytes per second."""
+    rate = float(text) * BYTES_PER_MBIT
     if not 0 <= rate < float("inf"):
-        raise ValueError("not a rate")
+        raise ValueError("is negative or not finite")
     return rate
 
 
-def _ports(text):
-    """Return the first and the last of the ports between processes."""
+def _parse_port_range(text):
+    """Return the first and last port of the range used between processes."""
     first, _, last = text.partition(",")
     ports = int(first), int(last or first)
     if not 0 < ports[0] <= ports[1] < 1 << 16:
-        raise ValueError("not a range of ports")
+        raise ValueError("is not a port range")
     return ports
 
 
-class _Reader:
+class _SettingsReader:
+    """Parses single values and collects a finding for each bad one."""
+
     def __init__(self, raw):
         self._raw = raw
         self.findings = []
@@ -124,10 +143,11 @@
                 finding = Finding(place=name, code="missing", text="Is required.")
                 self.findings.append(finding)
 
-    def words(self, name):
+    def get_list(self, name):
         return [part for part in self._raw.get(name, "").split(",") if part]
 
-    def take(self, name, parse, default):
+    def get_parsed(self, name, parse, default):
+        """Return the parsed value of a setting, the default if missing or bad."""
         value = self._raw.get(name)
         if not value:
             return default
@@ -138,12 +158,12 @@
             self.findings.append(Finding(place=name, code="bad_value", text=text))
             return default
 
-    def policy(self, text):
+    def get_policy(self, text):
         try:
             return Policy.parse(text)
         except FindingsError as error:
             self.findings += error.findings
             return Policy()
 
-    def address(self, name):
-        return self.take(name, lambda text: parse_address(text) and text, "")
+    def get_address(self, name):
+        return self.get_parsed(name, lambda text: parse_address(text) and text, "")
--- a/guavastream/platform/soak.py
+++ b/guavastream/platform/soak.py
@@ -1,4 +1,4 @@
-"""`guavastream soak`: real processes, faults drawn from a seed, promises kept."""
+"""`guavastream soak`: invariants of real processes under randomized faults."""
 
 import asyncio
 import json
@@ -10,52 +10,62 @@
 from guavastream.commands import command
 from guavastream.exception import GuavastreamError
 from guavastream.http1 import Client, CutOff, NotSent
-from guavastream.platform.emulator import ROUTES, World, call, make_route, until
+from guavastream.platform.emulator import (
+    ROUTES,
+    EmulatedPlatform,
+    call,
+    make_route,
+    wait_until,
+)
 from guavastream.soak import Ledger, make_schedule
 
 __all__ = ["run_soak"]
 
-EXIT_BROKEN_PROMISE = 5
-# Load and changes, seconds between two of one caller or operator.
-CALLER_PAUSE = 0.02
-CHANGE_PAUSE = 0.5
-STRAY_PAUSE = 0.4
-# A caller gives up on a request after this, seconds; its deadline is 2 s.
-PATIENCE_SECONDS = 3.0
-# Within this after the last fault all keys must be served again, seconds.
+EXIT_INVARIANT_VIOLATED = 5
+# Mean pause between two requests of a caller.
+CALLER_PAUSE_SECONDS = 0.02
+# Mean pause between two changes, or two reads, of the configuration by an operator.
+CHANGE_PAUSE_SECONDS = 0.5
+INVALID_HEARTBEAT_PAUSE_SECONDS = 0.4
+# Callers give up on a request after this time; its deadline is 2 s.
+CALLER_TIMEOUT_SECONDS = 3.0
+# All keys must be served again within this time after the last fault.
 RECOVERY_SECONDS = 30.0
 PROBED_KEYS = 16
-# Share of the orders about keys that get no answer and are carried out later.
-LATE_ORDERS = 0.05
-MOST_BODY = 20000
-# Requests that end their servers: kinds of them, the pause between two of one, how
-# long a server runs one and is away, and since when a calm host must know, seconds.
-HARMFUL = ("read", "order")
+# Share of grant calls that get no answer and are executed late.
+LATE_CALL_SHARE = 0.05
+MAX_BODY_BYTES = 20000
+# Routes of the harmful requests, which crash the server that runs them.
+HARMFUL_ROUTES = ("read", "order")
 HARMFUL_KEY = 4711
-HARM_PAUSE = 0.5
-HARM_SECONDS = 0.01
+# Pause between two harmful requests on one route.
+HARMFUL_PAUSE_SECONDS = 0.5
+# Time for which a server runs a harmful request before it crashes.
+HARMFUL_RUN_SECONDS = 0.01
+# Time until a crashed server restarts.
 DOWN_SECONDS = 1.0
-# Share of the ends at which the server's connections do not break.
-SILENT_HARMS = 0.3
-TOUCH_SECONDS = 3.0
-# The connection ended in place of an answer.
-CUT_OFF = -1
-# Idle limit where callers come back on their connections, and the shares of it after
-# which they do; what is left of it must pass while a host stands still.
-SHORT_IDLE = 1.0
-COME_BACK = (0.3, 0.6)
-# A caller that was late by more than this itself is no witness, seconds.
-OWN_DELAY = 0.1
-READ_AND_CUT = "A connection was ended under a request."
+# Share of crashes that leave the server's connections open but silent.
+SILENT_CRASH_SHARE = 0.3
+# A host must know which requests are harmful once it had no fault for this time.
+CALM_AFTER_SECONDS = 3.0
+# Status of a request whose connection ended before the answer was complete.
+CONNECTION_ENDED = -1
+# Idle timeout in runs with reused connections, and the range of fractions of it after
+# which callers reuse them. The rest of it must pass while a host is frozen.
+SHORT_IDLE_SECONDS = 1.0
+REUSE_AFTER_FRACTIONS = (0.3, 0.6)
+# Answers to a caller that was itself delayed by more than this are not checked.
+MAX_CALLER_DELAY_SECONDS = 0.1
+UNANSWERED_REQUEST_LOG_TEXT = "A connection was ended under a request."
 
 
 class SoakFailure(GuavastreamError):
-    """The system did not come back after the last fault."""
+    """The system did not recover after the last fault."""
 
     code = "not_recovered"
 
 
-class _Soak:
+class _SoakRun:
     def __init__(
         self, *, seed, seconds, callers, folder, calm, granting, harmful, returning
     ):
@@ -64,23 +74,23 @@
         self._rng = random.Random(seed)
         self._seconds = seconds
         self._callers = callers
-        self._harmful = HARMFUL if harmful else ()
-        # Where harmful requests came in, by their ids.
-        self._harmful_at = {}
-        self._harms = set()
+        self._harmful_routes = HARMFUL_ROUTES if harmful else ()
+        # Hosts that harmful requests were sent to, by request id.
+        self._harmful_request_hosts = {}
+        self._crash_tasks = set()
         self._returning = returning
         self._ids = iter(range(1, 10**9))
-        self._world = World(
+        self._platform = EmulatedPlatform(
             folder=folder,
-            on_start=self._watch,
+            on_start=self._observe_server,
             granting=granting,
-            late=LATE_ORDERS,
-            idle=SHORT_IDLE if returning else None,
+            late_share=LATE_CALL_SHARE,
+            idle_seconds=SHORT_IDLE_SECONDS if returning else None,
         )
         counts = {
-            "control": len(self._world.control),
-            "host": len(self._world.places),
-            "server": len(self._world.places),
+            "control": len(self._platform.control_hosts),
+            "host": len(self._platform.server_hosts),
+            "server": len(self._platform.server_hosts),
         }
         self.schedule = ()
         if not calm:
@@ -88,219 +98,271 @@
         self._version = 1
 
     async def run(self):
-        """Play the whole schedule and return the broken promises."""
-        world = self._world
+        """Run the whole schedule and return the violations."""
+        platform = self._platform
         try:
-            await world.start()
-            work = [asyncio.ensure_future(self._call()) for _ in range(self._callers)]
-            work += [asyncio.ensure_future(self._operate()) for _ in range(2)]
-            work.append(asyncio.ensure_future(self._read()))
-            work.append(asyncio.ensure_future(self._write_strays()))
-            for place in world.places * (self._callers if self._returning else 0):
-                work.append(asyncio.ensure_future(self._come_back(place)))
-            harm = [asyncio.ensure_future(self._recur(name)) for name in self._harmful]
-            await self._strike_all()
-            for task in harm:
+            await platform.start()
+            background_tasks = [
+                asyncio.ensure_future(self._send_requests())
+                for _ in range(self._callers)
+            ]
+            background_tasks += [
+                asyncio.ensure_future(self._send_changes()) for _ in range(2)
+            ]
+            background_tasks.append(asyncio.ensure_future(self._read_configs()))
+            background_tasks.append(
+                asyncio.ensure_future(self._send_invalid_heartbeats())
+            )
+            for server_host in platform.server_hosts * (
+                self._callers if self._returning else 0
+            ):
+                background_tasks.append(
+                    asyncio.ensure_future(self._reuse_connection(server_host))
+                )
+            harmful_tasks = [
+                asyncio.ensure_future(self._repeat_harmful_request(route_name))
+                for route_name in self._harmful_routes
+            ]
+            await self._inject_faults()
+            for task in harmful_tasks:
                 task.cancel()
-            await self._recover()
-            for task in [*work, *harm]:
+            await self._wait_for_recovery()
+            for task in [*background_tasks, *harmful_tasks]:
                 task.cancel()
-            for result in await asyncio.gather(*work, *harm, return_exceptions=True):
+            for result in await asyncio.gather(
+                *background_tasks, *harmful_tasks, return_exceptions=True
+            ):
                 if not isinstance(result, asyncio.CancelledError):
                     raise result
-            # A request that was refused must not run later either.
-            await asyncio.sleep(PATIENCE_SECONDS)
+            # Leave time for refused requests to run, which they must not.
+            await asyncio.sleep(CALLER_TIMEOUT_SECONDS)
         finally:
-            await world.stop()
-        for place in world.places:
-            for line in place.machine.log().splitlines():
-                if READ_AND_CUT in line:
-                    self.ledger.note("what was read is answered", line)
-        return self.ledger.verdict()
-
-    async def _strike_all(self):
+            await platform.stop()
+        for server_host in platform.server_hosts:
+            for line in server_host.machine.log().splitlines():
+                if UNANSWERED_REQUEST_LOG_TEXT in line:
+                    self.ledger.record_violation(
+                        "requests that a host has read are answered", line
+                    )
+        return self.ledger.all_violations()
+
+    async def _inject_faults(self):
         loop = asyncio.get_running_loop()
-        began, strikes = loop.time(), []
+        began, fault_tasks = loop.time(), []
         for fault in self.schedule:
             await asyncio.sleep(max(0.0, began + fault.at - loop.time()))
-            strikes.append(asyncio.ensure_future(self._world.strike(fault)))
+            fault_tasks.append(
+                asyncio.ensure_future(self._platform.inject_fault(fault))
+            )
         await asyncio.sleep(max(0.0, began + self._seconds - loop.time()))
-        await asyncio.gather(*strikes)
+        await asyncio.gather(*fault_tasks)
 
-    async def _recover(self):
+    async def _wait_for_recovery(self):
         async def all_served():
-            if not await self._world.is_ready():
+            if not await self._platform.is_ready():
                 return False
             step = 65536 // PROBED_KEYS
-            for place in self._world.places:
+            for server_host in self._platform.server_hosts:
                 for number in range(PROBED_KEYS):
-                    if await self._ask(Client(), place, "read", number * step) != 200:
+                    if (
+                        await self._send_request(
+                            Client(), server_host, "read", number * step
+                        )
+                        != 200
+                    ):
                         return False
             return True
 
         try:
-            await until(all_served, RECOVERY_SECONDS)
+            await wait_until(all_served, RECOVERY_SECONDS)
         except TimeoutError:
             raise SoakFailure("Not all keys are served after the faults.") from None
 
-    def _watch(self, server):
+    def _observe_server(self, server):
         loop = asyncio.get_running_loop()
-        server.on_left = lambda: self.ledger.acknowledged_leave(
-            server.life, loop.time()
+        server.on_departure = lambda: self.ledger.record_departure(
+            server.instance_name, loop.time()
         )
 
         def on_run(entry, key):
-            self.ledger.ran(*entry[:4], server=server.life, at=loop.time())
-            if entry[0] in self._harmful_at:
-                self._note_harm(entry, server)
+            self.ledger.record_run(
+                *entry[:4], server=server.instance_name, at=loop.time()
+            )
+            if entry[0] in self._harmful_request_hosts:
+                self._record_crash(entry, server)
             if key is None:
                 return
             others = [
-                place.server.life
-                for place in self._world.places
-                if place.server not in (None, server)
-                and place.service == server.service
-                and place.server.holds(key)
+                server_host.server.instance_name
+                for server_host in self._platform.server_hosts
+                if server_host.server not in (None, server)
+                and server_host.service == server.service
+                and server_host.server.holds(key)
             ]
             fence = server.fence_of(key)
-            self.ledger.owned(key, fence, server=server.life, others=others)
+            self.ledger.record_key_use(
+                key, fence, server=server.instance_name, others=others
+            )
 
         server.server.on_run = on_run
 
     # Callers
 
-    async def _call(self):
-        # Clients keep their connections, and use them until they are gone.
+    async def _send_requests(self):
+        # The client keeps its connections and reuses them until they are closed.
         client = Client()
         while True:
-            place = self._rng.choice(self._world.places)
-            name = self._rng.choice(sorted(ROUTES))
-            await self._ask(client, place, name, self._rng.randrange(65536))
-            await asyncio.sleep(self._rng.expovariate(1 / CALLER_PAUSE))
+            server_host = self._rng.choice(self._platform.server_hosts)
+            route_name = self._rng.choice(sorted(ROUTES))
+            await self._send_request(
+                client, server_host, route_name, self._rng.randrange(65536)
+            )
+            await asyncio.sleep(self._rng.expovariate(1 / CALLER_PAUSE_SECONDS))
 
-    async def _ask(self, client, place, name, key, *, harmful=False):
-        kind, _, method = ROUTES[name]
+    async def _send_request(
+        self, client, server_host, route_name, key, *, harmful=False
+    ):
+        kind, _, method = ROUTES[route_name]
         id = b"q%d" % next(self._ids)
-        size = self._rng.randrange(MOST_BODY) if method == b"POST" else 0
-        body, rest = self._rng.randbytes(size), "x"
+        size = self._rng.randrange(MAX_BODY_BYTES) if method == b"POST" else 0
+        body, path_suffix = self._rng.randbytes(size), "x"
         if harmful:
-            body, rest = name.encode() * (method == b"POST"), "harm"
-            self._harmful_at[id] = place
-        target = f"/{name}/{rest}".encode()
-        self.ledger.asked(id, method, target, body, repeatable=kind == "safe")
+            body, path_suffix = route_name.encode() * (method == b"POST"), "harm"
+            self._harmful_request_hosts[id] = server_host
+        target = f"/{route_name}/{path_suffix}".encode()
+        self.ledger.record_request(id, method, target, body, idempotent=kind == "safe")
         status = 0
         try:
-            async with asyncio.timeout(PATIENCE_SECONDS):
-                status, data = await self._world.ask(
-                    client, place, name, id, key, body, rest
+            async with asyncio.timeout(CALLER_TIMEOUT_SECONDS):
+                status, data = await self._platform.send_request(
+                    client, server_host, route_name, id, key, body, path_suffix
                 )
-            self.ledger.answered(id, status, data, b"body of " + id)
+            self.ledger.record_answer(id, status, data, b"body of " + id)
         except CutOff:
-            status = CUT_OFF
+            status = CONNECTION_ENDED
         except (NotSent, TimeoutError):
             pass
         self.counts[status] = self.counts.get(status, 0) + 1
         return status
 
-    async def _come_back(self, place):
-        """Use one connection to a host again and again, near its idle limit."""
+    async def _reuse_connection(self, server_host):
+        """Reuse one connection to a host after pauses below its idle timeout."""
         loop, client = asyncio.get_running_loop(), Client()
         while True:
-            pause = SHORT_IDLE * self._rng.uniform(*COME_BACK)
-            due = loop.time() + pause
+            pause = SHORT_IDLE_SECONDS * self._rng.uniform(*REUSE_AFTER_FRACTIONS)
+            due_at = loop.time() + pause
             await asyncio.sleep(pause)
-            in_time = loop.time() - due < OWN_DELAY
-            kept, process = client.idle_count > 0, place.machine.process
-            name = self._rng.choice(sorted(ROUTES))
-            status = await self._ask(client, place, name, self._rng.randrange(65536))
-            # A host that is stopped or killed may end what it has not read.
-            lives = process is place.machine.process and not place.machine.ending
-            if status == CUT_OFF and kept and in_time and lives:
-                detail = f"{name} at {place.machine.name}, {loop.time():.2f}"
-                self.ledger.note("who comes back is answered", detail)
-
-    async def _write_strays(self):
-        """Send heartbeats as other writers do; they name no server to use."""
+            in_time = loop.time() - due_at < MAX_CALLER_DELAY_SECONDS
+            was_open, process = client.idle_count > 0, server_host.machine.process
+            route_name = self._rng.choice(sorted(ROUTES))
+            status = await self._send_request(
+                client, server_host, route_name, self._rng.randrange(65536)
+            )
+            # A host that is stopped or killed may close a connection with unread data.
+            is_running = (
+                process is server_host.machine.process
+                and not server_host.machine.is_ending
+            )
+            if status == CONNECTION_ENDED and was_open and in_time and is_running:
+                detail = (
+                    f"{route_name} at {server_host.machine.name}, {loop.time():.2f}"
+                )
+                self.ledger.record_violation(
+                    "requests on reused connections are answered", detail
+                )
+
+    async def _send_invalid_heartbeats(self):
+        """Send invalid heartbeats; none of them may add a server to the fleet."""
         rng = random.Random(len(self.schedule))
         while True:
-            await asyncio.sleep(STRAY_PAUSE)
-            place = rng.choice(self._world.places)
-            told = {"Service": "plain", "Address": place.server.announced, "Slots": 8}
-            told |= {"State": "ready", "Seq": 10**6, "born": 1}
+            await asyncio.sleep(INVALID_HEARTBEAT_PAUSE_SECONDS)
+            server_host = rng.choice(self._platform.server_hosts)
+            valid = {
+                "Service": "plain",
+                "Address": server_host.server.announced_address,
+                "Slots": 8,
+            }
+            valid |= {"State": "ready", "Seq": 10**6, "born": 1}
             body = rng.choice(
                 (
                     b"\xff\xfe not json",
                     b"[" * 10_000,
-                    told | {"Service": "elsewhere"},
-                    told | {"Service": 7},
-                    told | {"State": "dancing"},
-                    told | {"Slots": -1, "Holds": [[0, 65535, 10**12]]},
-                    told | {"Zone": "z" * (1 << 20)},
-                    {name: told[name] for name in ("State", "Seq")},
+                    valid | {"Service": "elsewhere"},
+                    valid | {"Service": 7},
+                    valid | {"State": "dancing"},
+                    valid | {"Slots": -1, "Holds": [[0, 65535, 10**12]]},
+                    valid | {"Zone": "z" * (1 << 20)},
+                    {name: valid[name] for name in ("State", "Seq")},
                 )
             )
-            address = place.machine.address("control")
+            address = server_host.machine.address("control")
             await call(address, b"PUT", b"/api/instances/stray", body)
 
-    async def _recur(self, name):
-        """Send one harmful request again and again, to any host."""
+    async def _repeat_harmful_request(self, route_name):
+        """Repeat one harmful request, each time to a random host."""
         client = Client()
         while True:
-            await asyncio.sleep(HARM_PAUSE)
-            place = self._rng.choice(self._world.places)
-            await self._ask(client, place, name, HARMFUL_KEY, harmful=True)
-
-    def _note_harm(self, entry, server):
-        places = [p for p in self._world.places if p.server is server]
-        places.append(self._harmful_at[entry[0]])
-        self.ledger.harmed(
+            await asyncio.sleep(HARMFUL_PAUSE_SECONDS)
+            server_host = self._rng.choice(self._platform.server_hosts)
+            await self._send_request(
+                client, server_host, route_name, HARMFUL_KEY, harmful=True
+            )
+
+    def _record_crash(self, entry, server):
+        server_hosts = [p for p in self._platform.server_hosts if p.server is server]
+        server_hosts.append(self._harmful_request_hosts[entry[0]])
+        self.ledger.record_crash(
             entry[2],
             asyncio.get_running_loop().time(),
-            calm=self._world.is_calm(places, TOUCH_SECONDS),
+            calm=self._platform.is_fault_free(server_hosts, CALM_AFTER_SECONDS),
+        )
+        task = asyncio.ensure_future(self._crash_server(server_hosts[0], server))
+        self._crash_tasks.add(task)
+        task.add_done_callback(self._crash_tasks.discard)
+
+    async def _crash_server(self, server_host, server):
+        await asyncio.sleep(HARMFUL_RUN_SECONDS)
+        silent = self._rng.random() < SILENT_CRASH_SHARE
+        await self._platform.crash_under_request(
+            server_host, server, DOWN_SECONDS, silent=silent
         )
-        task = asyncio.ensure_future(self._harm(places[0], server))
-        self._harms.add(task)
-        task.add_done_callback(self._harms.discard)
-
-    async def _harm(self, place, server):
-        await asyncio.sleep(HARM_SECONDS)
-        silent = self._rng.random() < SILENT_HARMS
-        await self._world.harm(place, server, DOWN_SECONDS, silent=silent)
 
     # Operators
 
-    async def _operate(self):
-        loop, world = asyncio.get_running_loop(), self._world
+    async def _send_changes(self):
+        loop, platform = asyncio.get_running_loop(), self._platform
         while True:
-            await asyncio.sleep(self._rng.expovariate(1 / CHANGE_PAUSE))
+            await asyncio.sleep(self._rng.expovariate(1 / CHANGE_PAUSE_SECONDS))
             base, self._version = self._version, self._version + 1
             added = make_route("read", PathPrefix=f"/extra-{self._version % 7}/")
             body = {
                 "Version": f"{self._version:08x}",
                 "Upsert": {"Routes": {f"extra-{self._version % 7}": added}},
             }
-            machine = self._rng.choice(world.control)
-            status, _ = await world.change(machine, body, base, method=b"PATCH")
+            machine = self._rng.choice(platform.control_hosts)
+            status, _ = await platform.send_change(machine, body, base, method=b"PATCH")
             if status == 200:
-                self.ledger.accepted(int(body["Version"], 16), loop.time())
+                self.ledger.record_change(int(body["Version"], 16), loop.time())
             else:
-                await self._take_newest()
+                await self._adopt_current_version()
 
-    async def _take_newest(self):
-        """Build on the version in force, which another operator may have sent."""
-        machine = self._rng.choice(self._world.control)
-        status, data = await self._world.read(machine)
+    async def _adopt_current_version(self):
+        """Take over the current version, which another operator may have sent."""
+        machine = self._rng.choice(self._platform.control_hosts)
+        status, data = await self._platform.read_config(machine)
         if status == 200:
             self._version = int(json.loads(data)["Version"], 16)
 
-    async def _read(self):
+    async def _read_configs(self):
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(self._rng.expovariate(1 / CHANGE_PAUSE))
+            await asyncio.sleep(self._rng.expovariate(1 / CHANGE_PAUSE_SECONDS))
             sent = loop.time()
-            status, data = await self._world.read(self._rng.choice(self._world.control))
+            status, data = await self._platform.read_config(
+                self._rng.choice(self._platform.control_hosts)
+            )
             if status == 200:
-                self.ledger.read(int(json.loads(data)["Version"], 16), sent)
+                self.ledger.record_read(int(json.loads(data)["Version"], 16), sent)
 
 
 def run_soak(
@@ -314,37 +376,45 @@
     harmful=False,
     returning=False,
 ):
-    """Play one seed; return broken promises, counts of answers and faults.
+    """Run the soak test of one seed.
 
     Parameters
     ----------
     seed : int
-        Draws the faults, and what callers ask.
+        Seed of the faults and of the requests.
     seconds : float
-        Faults begin within this time.
+        Duration of the load; all faults begin within it.
     callers : int
-        Callers, each with a connection to every host.
+        Number of callers, each with a connection to every host.
     folder : path, optional
-        Keeps settings, data and logs of the processes.
+        Directory in which to keep settings, data and logs of the processes.
     calm : bool
-        Whether to leave the faults out.
+        Whether to run without faults.
     granting : str
-        How servers are granted keys, "heartbeat" or "request" (by calls, some
-        of which are carried out late).
+        How servers are granted keys: "heartbeat", or "request" for calls, some of
+        which are executed late.
     harmful : bool
-        Whether some requests come again and again that end their servers.
+        Whether to repeat requests that crash the servers that run them.
     returning : bool
-        Whether callers come back on connections whose idle limit is short, so that
-        hosts stand still beyond it.
+        Whether callers reuse connections with a short idle timeout, which expires while
+        a host is frozen.
+
+    Returns
+    -------
+    violations : list of Violation
+    counts : dict of int to int
+        Number of answers by status.
+    faults : int
+        Number of faults injected.
 
     Raises
     ------
     SoakFailure
-        If the system does not come back after the last fault.
+        If the system does not recover after the last fault.
     """
 
     async def main(folder):
-        soak = _Soak(
+        soak_run = _SoakRun(
             seed=seed,
             seconds=seconds,
             callers=callers,
@@ -354,27 +424,30 @@
             harmful=harmful,
             returning=returning,
         )
-        return await soak.run(), soak.counts, len(soak.schedule)
+        return await soak_run.run(), soak_run.counts, len(soak_run.schedule)
 
     if folder is not None:
         return asyncio.run(main(Path(folder)))
-    with tempfile.TemporaryDirectory() as name:
-        return asyncio.run(main(Path(name)))
+    with tempfile.TemporaryDirectory() as temporary_folder:
+        return asyncio.run(main(Path(temporary_folder)))
 
 
 @command(
     "soak",
-    summary="Run real processes under faults drawn from seeds; check the promises.",
+    summary="Run real processes under randomized faults and check invariants.",
     example="guavastream soak --seeds 3 --seconds 20",
 )
-def _setup_soak(parser):
+def _set_up_command(parser):
     parser.add_argument("--seed", type=int, default=1, help="first seed (1)")
-    parser.add_argument("--seeds", type=int, default=1, help="how many seeds (1)")
+    parser.add_argument("--seeds", type=int, default=1, help="number of seeds (1)")
     parser.add_argument(
-        "--seconds", type=float, default=20.0, help="faults begin within this (20)"
+        "--seconds",
+        type=float,
+        default=20.0,
+        help="duration; faults begin within it (20)",
     )
-    parser.add_argument("--callers", type=int, default=6, help="callers (6)")
-    parser.add_argument("--calm", action="store_true", help="without any fault")
+    parser.add_argument("--callers", type=int, default=6, help="number of callers (6)")
+    parser.add_argument("--calm", action="store_true", help="without faults")
     parser.add_argument(
         "--granting",
         choices=("heartbeat", "request"),
@@ -382,18 +455,18 @@
         help="how servers are granted keys (heartbeat)",
     )
     parser.add_argument(
-        "--harmful", action="store_true", help="with requests that end their servers"
+        "--harmful", action="store_true", help="with requests that crash their servers"
     )
     parser.add_argument(
         "--returning",
         action="store_true",
-        help="with callers who come back on connections with a short idle limit",
+        help="with callers that reuse connections with a short idle timeout",
     )
     parser.add_argument("--folder", help="keep settings, data and logs here")
-    return _soak
+    return _run_command
 
 
-def _soak(arguments):
+def _run_command(arguments):
     failed = []
     for seed in range(arguments.seed, arguments.seed + arguments.seeds):
         began = time.monotonic()
@@ -401,7 +474,7 @@
         if folder:
             folder.mkdir(parents=True)
         try:
-            broken, counts, faults = run_soak(
+            violations, counts, faults = run_soak(
                 seed=seed,
                 seconds=arguments.seconds,
                 callers=arguments.callers,
@@ -418,9 +491,9 @@
         took = time.monotonic() - began
         answers = ", ".join(f"{counts[status]} x {status}" for status in sorted(counts))
         print(f"seed {seed}: {faults} faults in {took:.0f} s; {answers}")
-        for one in broken[:10]:
-            print(f"  broken: {one.promise}: {one.detail}")
-        if broken:
+        for violation in violations[:10]:
+            print(f"  violated: {violation.invariant}: {violation.detail}")
+        if violations:
             failed.append(seed)
-    print(f"{arguments.seeds} seeds, {len(failed)} broke a promise: {failed}")
-    return EXIT_BROKEN_PROMISE if failed else 0
+    print(f"{arguments.seeds} seeds, {len(failed)} failed: {failed}")
+    return EXIT_INVARIANT_VIOLATED if failed else 0
--- a/guavastream/platform/tests/test_fuzz.py
+++ b/guavastream/platform/tests/test_fuzz.py
@@ -1,9 +1,9 @@
-"""Entries of other writers: unreadable, incomplete, out of range, enormous.
+"""Property tests of input from other processes.
 
-A heartbeat or a configuration may come from a writer that is not ours. One that was
-taken although it could not be passed on, stored or routed by ended the task that met
-it, at every host that had it: callers of sound servers got connections that broke
-off. So the edge takes an item only if all that follows can work with it.
+Guards against a heartbeat or configuration that is accepted although it can't be sent
+on, stored or used for routing. It ended the task that processed it on every host, and
+callers of healthy servers saw their connections break. Input is therefore rejected
+where it is decoded, unless every later stage can process it.
 """
 
 import json
@@ -17,24 +17,24 @@
 from guavastream.http1.message import Headers
 from guavastream.kernel import parse_address
 from guavastream.messages import decode_message, encode_message
-from guavastream.platform.keys import KeyOrders
+from guavastream.platform.keys import PlatformKeyDialect
 from guavastream.platform.settings import parse_settings
-from guavastream.platform.tests.test_wire import BEAT, CONFIG
-from guavastream.platform.wire import decode_beat, decode_change, decode_left
+from guavastream.platform.tests.test_wire import CONFIG, HEARTBEAT_BODY
+from guavastream.platform.wire import decode_change, decode_departure, decode_heartbeat
 from guavastream.replica import decode_command
 from guavastream.routes import RouteIndex
 
-# The verdict must not vary from run to run.
+# Derandomized, so that the result is the same in every run.
 fuzz = settings(
     derandomize=True,
     deadline=None,
     max_examples=400,
     suppress_health_check=list(HealthCheck),
 )
-# Bytes of one heartbeat as it is passed on; a row of keys takes 13.
-MOST_BEAT = 1 << 16
+# Limit on the encoded size of a heartbeat; a row of keys takes 13 bytes.
+MAX_ENCODED_HEARTBEAT_BYTES = 1 << 16
 
-scalars = (
+json_scalars = (
     st.none()
     | st.booleans()
     | st.integers()
@@ -45,8 +45,8 @@
     | st.sampled_from(["0000000c", "10.0.0.9:8080", "10.0.0.9", ":1", "a:b", "/x/"])
     | st.sampled_from(["x" * 5000, "\ud800", "\x00"])
 )
-values = st.recursive(
-    scalars,
+json_values = st.recursive(
+    json_scalars,
     lambda inner: (
         st.lists(inner, max_size=4)
         | st.dictionaries(st.text(max_size=8), inner, max_size=4)
@@ -55,32 +55,32 @@
 )
 
 
-def paths(item, before=()):
-    """Return the places of everything inside plain values."""
-    found = [before] if before else []
+def nested_paths(item, parent_path=()):
+    """Return the paths of all values nested in a JSON value."""
+    found = [parent_path] if parent_path else []
     pairs = ()
     if isinstance(item, dict):
         pairs = item.items()
     elif isinstance(item, list):
         pairs = enumerate(item)
     for key, inner in pairs:
-        found += paths(inner, (*before, key))
+        found += nested_paths(inner, (*parent_path, key))
     return found
 
 
 @st.composite
-def spoilt(draw, sound):
-    """Return sound plain values with a few of them replaced or left out."""
-    item = json.loads(json.dumps(sound))
+def corrupted(draw, valid):
+    """Return a valid JSON value with a few nested values replaced or removed."""
+    item = json.loads(json.dumps(valid))
     for _ in range(draw(st.sampled_from([1, 1, 1, 2, 3]))):
-        place = draw(st.sampled_from(paths(item)))
+        place = draw(st.sampled_from(nested_paths(item)))
         inner = item
         for key in place[:-1]:
             inner = inner[key]
         if draw(st.booleans()) and isinstance(inner, dict):
             del inner[place[-1]]
         else:
-            inner[place[-1]] = draw(values)
+            inner[place[-1]] = draw(json_values)
     return item
 
 
@@ -90,43 +90,43 @@
 
 bodies = (
     st.binary(max_size=200)
-    | spoilt(BEAT).map(to_bytes)
-    | spoilt(CONFIG).map(to_bytes)
-    | values.map(to_bytes)
+    | corrupted(HEARTBEAT_BODY).map(to_bytes)
+    | corrupted(CONFIG).map(to_bytes)
+    | json_values.map(to_bytes)
     | st.sampled_from([b"[" * 100_000, b'{"a":' * 100_000, b"\xff\xfe", b"\x00"])
 )
 
 
-def check_beat(id, body):
+def check_heartbeat(id, body):
     try:
-        beat = decode_beat(id, body, host="h", door="10.0.0.1:1")
+        heartbeat = decode_heartbeat(id, body, host="h", door="10.0.0.1:1")
     except FindingsError as error:
         assert error.findings
         return
-    tag, encoded = encode_message(beat)
+    tag, encoded = encode_message(heartbeat)
     assert isinstance(decode_message(tag, encoded), Heartbeat)
-    assert len(encoded) <= MOST_BEAT
-    ip, port = parse_address(beat.address)
+    assert len(encoded) <= MAX_ENCODED_HEARTBEAT_BYTES
+    ip, port = parse_address(heartbeat.address)
     assert port
 
 
 @fuzz
 @given(id=st.text(max_size=30) | st.just("x" * 300), body=bodies)
-def test_a_heartbeat_is_taken_only_if_it_can_be_passed_on(id, body):
-    check_beat(id, body)
+def test_a_heartbeat_is_accepted_only_if_it_can_be_sent_on(id, body):
+    check_heartbeat(id, body)
 
 
 @fuzz
-@given(item=spoilt(BEAT))
-def test_a_spoilt_heartbeat_is_taken_only_if_it_can_be_passed_on(item):
-    check_beat("i-1", to_bytes(item))
+@given(item=corrupted(HEARTBEAT_BODY))
+def test_a_corrupted_heartbeat_is_accepted_only_if_it_can_be_sent_on(item):
+    check_heartbeat("i-1", to_bytes(item))
 
 
 @fuzz
 @given(body=bodies)
-def test_a_departure_is_read_or_refused(body):
+def test_a_departure_is_decoded_or_rejected(body):
     try:
-        assert 0 <= decode_left(body) < 2**63
+        assert 0 <= decode_departure(body) < 2**63
     except FindingsError as error:
         assert error.findings
 
@@ -137,13 +137,13 @@
     except FindingsError as error:
         assert error.findings
         return
-    again = decode_command(encode_command(command))
-    assert isinstance(again, ChangeRoutes)
-    book, answer = FleetState().apply(1, again)
+    decoded = decode_command(encode_command(command))
+    assert isinstance(decoded, ChangeRoutes)
+    fleet_state, answer = FleetState().apply(1, decoded)
     if answer.code != "ok":
         return
-    index = RouteIndex(book.config)
-    for route in book.config.routes.values():
+    index = RouteIndex(fleet_state.config)
+    for route in fleet_state.config.routes.values():
         assert index.find(route.host.encode(), route.prefix.encode()) is not None
         weights = [part.weight for part in route.weighted_services]
         assert random.choices(route.weighted_services, weights)
@@ -155,13 +155,13 @@
     base=st.sampled_from([b"0", b"00000000", b"", b"x", b"\xff", b'"0"']),
     body=bodies,
 )
-def test_a_configuration_is_taken_only_if_it_can_be_served(method, base, body):
+def test_a_configuration_is_accepted_only_if_it_can_be_routed(method, base, body):
     check_change(method, base, body)
 
 
 @fuzz
-@given(item=spoilt(CONFIG))
-def test_a_spoilt_configuration_is_taken_only_if_it_can_be_served(item):
+@given(item=corrupted(CONFIG))
+def test_a_corrupted_configuration_is_accepted_only_if_it_can_be_routed(item):
     check_change(b"PUT", b"0", to_bytes(item))
 
 
@@ -181,37 +181,39 @@
 Bounds.MaxHold=10000ms
 Bounds.Grace=6s
 """
-lines = st.sampled_from(SETTINGS.splitlines())
-words = st.text(max_size=12) | st.sampled_from(["", "-1", "1e9s", ",", "a,b", "0,0"])
+setting_lines = st.sampled_from(SETTINGS.splitlines())
+setting_values = st.text(max_size=12) | st.sampled_from(
+    ["", "-1", "1e9s", ",", "a,b", "0,0"]
+)
 
 
 @st.composite
-def spoilt_settings(draw):
+def corrupted_settings(draw):
     text = SETTINGS
     for _ in range(draw(st.integers(1, 4))):
-        line = draw(lines)
+        line = draw(setting_lines)
         name = line.partition("=")[0]
-        text = text.replace(line, f"{name}={draw(words)}")
+        text = text.replace(line, f"{name}={draw(setting_values)}")
     return text
 
 
 @fuzz
-@given(text=spoilt_settings() | st.text(max_size=200))
-def test_settings_are_read_or_refused(text):
+@given(text=corrupted_settings() | st.text(max_size=200))
+def test_settings_are_parsed_or_rejected(text):
     try:
         parse_settings(text)
     except FindingsError as error:
         assert error.findings
 
 
-names = st.sampled_from([b"Handover", b"Not-Executed", b"Instance-Id", b"x"])
-answers = st.lists(st.tuples(names, st.binary(max_size=300)), max_size=4)
+header_names = st.sampled_from([b"Handover", b"Not-Executed", b"Instance-Id", b"x"])
+header_lists = st.lists(st.tuples(header_names, st.binary(max_size=300)), max_size=4)
 
 
 @fuzz
-@given(status=st.integers(100, 999), fields=answers)
-def test_any_answer_to_an_order_is_understood_or_says_nothing(status, fields):
-    result = KeyOrders().decode(status, Headers(fields))
+@given(status=st.integers(100, 999), fields=header_lists)
+def test_any_answer_to_a_key_call_is_decoded_or_has_no_result(status, fields):
+    result = PlatformKeyDialect().decode(status, Headers(fields))
     assert result is None or len(result.handover) <= 256
 
 
@@ -233,23 +235,23 @@
         {"ColdRemaining": "1e8s"},
     ],
 )
-def test_a_heartbeat_that_would_break_others_is_refused(changes):
+def test_a_heartbeat_that_other_hosts_could_not_process_is_rejected(changes):
     with pytest.raises(FindingsError):
-        body = to_bytes(BEAT | changes)
-        decode_beat("i-1", body, host="h", door="10.0.0.1:1")
+        body = to_bytes(HEARTBEAT_BODY | changes)
+        decode_heartbeat("i-1", body, host="h", door="10.0.0.1:1")
 
 
-def test_thousands_of_entries_of_other_writers_lose_no_neighbour():
-    # Between any two that cannot be read comes one that can.
+def test_invalid_heartbeats_do_not_affect_valid_ones():
+    # Sends a valid heartbeat after each invalid one; all valid ones must be accepted.
     rng = random.Random(5)
-    taken = refused = 0
+    accepted = rejected = 0
     for number in range(2000):
-        item = dict(BEAT)
+        item = dict(HEARTBEAT_BODY)
         item[rng.choice(list(item))] = rng.choice([None, [], {}, "?", -(2**70)])
-        for body in (to_bytes(item), to_bytes(BEAT)):
+        for body in (to_bytes(item), to_bytes(HEARTBEAT_BODY)):
             try:
-                decode_beat(f"i-{number}", body, host="h", door="10.0.0.1:1")
-                taken += 1
+                decode_heartbeat(f"i-{number}", body, host="h", door="10.0.0.1:1")
+                accepted += 1
             except FindingsError:
-                refused += 1
-    assert taken >= 2000 and refused >= 1000
+                rejected += 1
+    assert accepted >= 2000 and rejected >= 1000
--- a/guavastream/platform/tests/test_keys.py
+++ b/guavastream/platform/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Orders about keys as the platform's servers take them."""
+"""Grant and release calls in the platform's format."""
 
 import asyncio
 import json
@@ -9,15 +9,15 @@
 from guavastream.hosts.key_keeper import KeySender
 from guavastream.http1 import CutOff, Headers
 from guavastream.leases import KeyCall
-from guavastream.platform.keys import MOST_HANDOVER, KeyOrders
+from guavastream.platform.keys import MAX_HANDOVER_LENGTH, PlatformKeyDialect
 from guavastream.relay import KeyOutcome
 
 GRANT = KeyCall(first=4096, last=8191, fence=12, handover="5c0e", hold=1.9996)
 RELEASE = KeyCall(first=4096, last=8191, fence=12)
 
 
-def test_a_grant_and_a_release():
-    path, body = KeyOrders().encode(GRANT)
+def test_grants_and_releases_are_encoded():
+    path, body = PlatformKeyDialect().encode(GRANT)
     assert path == b"/api/grant"
     assert json.loads(body) == {
         "From": 4096,
@@ -26,7 +26,7 @@
         "Hold": "1999ms",
         "Handover": "5c0e",
     }
-    path, body = KeyOrders().encode(RELEASE)
+    path, body = PlatformKeyDialect().encode(RELEASE)
     assert path == b"/api/release"
     assert json.loads(body) == {"From": 4096, "TargetVersion": 8191, "fence": 12}
 
@@ -41,19 +41,19 @@
         (503, ((b"Not-Executed", b"1"),), KeyOutcome.REJECTED),
     ],
 )
-def test_what_an_answer_says(status, headers, outcome):
-    assert KeyOrders().decode(status, Headers(headers)).outcome is outcome
+def test_answers_are_decoded(status, headers, outcome):
+    assert PlatformKeyDialect().decode(status, Headers(headers)).outcome is outcome
 
 
 @pytest.mark.parametrize("status", [100, 204, 302, 404, 500, 503])
-def test_an_unknown_answer_says_nothing(status):
-    # Whatever it means, the order may have been carried out or be so later.
-    assert KeyOrders().decode(status, Headers()) is None
+def test_an_unknown_status_has_no_result(status):
+    # The server may have executed the call, or may still execute it.
+    assert PlatformKeyDialect().decode(status, Headers()) is None
 
 
-def test_a_handover_that_is_none_is_left_out():
-    for value in (b"x" * (MOST_HANDOVER + 1), b"\xff"):
-        answer = KeyOrders().decode(200, Headers([(b"Handover", value)]))
+def test_an_invalid_handover_is_dropped():
+    for value in (b"x" * (MAX_HANDOVER_LENGTH + 1), b"\xff"):
+        answer = PlatformKeyDialect().decode(200, Headers([(b"Handover", value)]))
         assert answer.handover == ""
 
 
@@ -65,9 +65,9 @@
         b"",
     ],
 )
-def test_what_is_no_answer_ends_the_connection(answer):
-    # A server that lost its mind must not fill this process's memory, nor be
-    # taken to have done what it was told.
+def test_a_malformed_answer_ends_the_connection(answer):
+    # A malformed or oversized answer must neither fill the memory of this process nor
+    # count as the execution of the call.
     async def main():
         async def handle(reader, writer):
             await reader.readline()
@@ -86,7 +86,7 @@
             slots=1,
         )
         with pytest.raises(CutOff):
-            await KeySender(dialect=KeyOrders()).send(instance, GRANT)
+            await KeySender(dialect=PlatformKeyDialect()).send(instance, GRANT)
         server.close()
 
     asyncio.run(main())
--- a/guavastream/platform/tests/test_soak.py
+++ b/guavastream/platform/tests/test_soak.py
@@ -1,29 +1,31 @@
-"""A short soak of real processes; seeds that failed stay here with their cause."""
+"""Short soak tests of real processes, with seeds that exposed faults."""
 
 import pytest
 
 from guavastream.platform.soak import run_soak
 
-# A host that was told to stop never ended: a task had lost its cancellation.
-# Two servers held the same keys: one came back while it was being removed.
-STOPPED_HOSTS = 3
+# Guards against a host that does not stop because a task swallows its cancellation, and
+# against two owners of the same keys when a server returns while it is being removed.
+STOPPED_HOSTS_SEED = 3
 
 
-@pytest.mark.parametrize("seed", [STOPPED_HOSTS])
-def test_no_promise_is_broken(seed, tmp_path):
-    broken, counts, faults = run_soak(seed=seed, seconds=12, folder=tmp_path)
-    assert broken == [] and faults > 8 and counts[200] > 50
+@pytest.mark.parametrize("seed", [STOPPED_HOSTS_SEED])
+def test_no_invariant_is_violated(seed, tmp_path):
+    violations, counts, faults = run_soak(seed=seed, seconds=12, folder=tmp_path)
+    assert violations == [] and faults > 8 and counts[200] > 50
 
 
-def test_requests_that_end_their_servers_are_kept_away(tmp_path):
-    """Guards against real processes that send one to server after server."""
-    broken, counts, _ = run_soak(
+def test_requests_that_crash_their_servers_are_quarantined(tmp_path):
+    """Guards against processes that send such a request to one server after another."""
+    violations, counts, _ = run_soak(
         seed=1, seconds=12, folder=tmp_path, calm=True, harmful=True
     )
-    assert broken == [] and counts[200] > 50 and counts[503] >= 10
+    assert violations == [] and counts[200] > 50 and counts[503] >= 10
 
 
-def test_callers_who_come_back_to_a_host_that_stood_still_are_answered(tmp_path):
-    """Guards against connections closed as idle with a request on them."""
-    broken, counts, _ = run_soak(seed=1, seconds=12, folder=tmp_path, returning=True)
-    assert broken == [] and counts[200] > 50
+def test_requests_on_reused_connections_to_a_frozen_host_are_answered(tmp_path):
+    """Guards against a host that closes a connection as idle with a request on it."""
+    violations, counts, _ = run_soak(
+        seed=1, seconds=12, folder=tmp_path, returning=True
+    )
+    assert violations == [] and counts[200] > 50
--- a/guavastream/platform/tests/test_start.py
+++ b/guavastream/platform/tests/test_start.py
@@ -1,17 +1,21 @@
-"""What a process on the platform takes in when it starts."""
+"""Imports of a process on the platform at its start."""
 
 import subprocess
 import sys
 
 
-def test_a_process_takes_in_no_tls():
-    # Each of two hundred hosts held 4 MB for a protocol that none of them speaks:
-    # it was left out only after asyncio, which brings it, had been imported.
+def test_a_process_does_not_import_tls():
+    # TLS is not used and costs 4 MB on each of about 200 hosts. Guards against blocking
+    # its import only after asyncio, which imports it, has been loaded.
     command = [sys.executable, "-X", "importtime", "-m", "guavastream.platform"]
-    ended = subprocess.run(command, capture_output=True, text=True, env={}, check=False)
-    imported = {line.rpartition("|")[2].strip() for line in ended.stderr.splitlines()}
+    completed = subprocess.run(
+        command, capture_output=True, text=True, env={}, check=False
+    )
+    imported = {
+        line.rpartition("|")[2].strip() for line in completed.stderr.splitlines()
+    }
     assert "guavastream.hosts.settings" in imported
-    # Tries to import `ssl` itself are listed too, and fail.
+    # Checks `_ssl`, since failed attempts to import `ssl` are listed too.
     assert "_ssl" not in imported
-    # Without settings it says so and ends.
-    assert ended.returncode == 2
+    # Without settings the process reports that and exits.
+    assert completed.returncode == 2
--- a/guavastream/platform/tests/test_system.py
+++ b/guavastream/platform/tests/test_system.py
@@ -1,4 +1,4 @@
-"""The whole system as real processes, against stand-ins for the platform."""
+"""The whole system as real processes, against an emulated platform."""
 
 import asyncio
 import json
@@ -10,135 +10,152 @@
 from guavastream.http1 import Client
 from guavastream.platform.emulator import (
     PORTS,
+    EmulatedPlatform,
     Machine,
-    World,
     make_route,
-    until,
+    wait_until,
 )
 
 
-def play(folder, scenario, **options):
-    """Run a coroutine function of a started `World` of two servers with keys."""
+def run_scenario(folder, scenario, **options):
+    """Run a scenario on a started `EmulatedPlatform` with two keyed servers."""
 
     async def main():
-        world = World(folder=folder, keyed=2, plain=0, **options)
+        platform = EmulatedPlatform(folder=folder, keyed=2, plain=0, **options)
         try:
-            await world.start()
-            await scenario(world)
+            await platform.start()
+            await scenario(platform)
         finally:
-            await world.stop()
+            await platform.stop()
 
     asyncio.run(main())
 
 
-async def ask(world, place, key):
+async def send_read(platform, server_host, key):
     id = b"q%d" % key
-    return await world.ask(Client(), place, "read", id, key, b"")
+    return await platform.send_request(Client(), server_host, "read", id, key, b"")
 
 
-async def change(world, at, body, base, **kwargs):
-    """Send a change until it gets a clear answer, as the operator does."""
+async def send_change_until_known(platform, at, body, base, **kwargs):
+    """Repeat a change until its outcome is known, as an operator does."""
 
     async def once():
-        status, _ = await world.change(world.control[at], body, base, **kwargs)
+        status, _ = await platform.send_change(
+            platform.control_hosts[at], body, base, **kwargs
+        )
         return status if status not in (0, 503) else 0
 
-    return await until(once)
+    return await wait_until(once)
 
 
 @pytest.mark.parametrize("granting", ["heartbeat", "request"])
-def test_a_day_in_small(tmp_path, granting):
-    # Requests for keys all over reach their owners from both hosts; a change
-    # is read back and in force; a lost control host and a planned stop of
-    # one process cost no request.
-    async def scenario(world):
-        for place in world.places:
+def test_requests_and_changes_survive_a_lost_control_host_and_a_planned_stop(
+    tmp_path, granting
+):
+    # Requests for keys of the whole range reach their owners from both hosts, and a
+    # change of the configuration is read back. The loss of a control host, a planned
+    # stop of one process and the draining of a server must not fail any request.
+    async def scenario(platform):
+        for server_host in platform.server_hosts:
             for key in range(0, 65536, 9000):
-                told = await ask(world, place, key)
-                assert told == (200, b"body of q%d" % key)
-        servers = [place.server.server for place in world.places]
+                answer = await send_read(platform, server_host, key)
+                assert answer == (200, b"body of q%d" % key)
+        servers = [server_host.server.server for server_host in platform.server_hosts]
         assert {run[4] for server in servers for run in server.ran} == {b"keyed"}
         assert all(server.ran for server in servers)
 
-        config = world.make_config(1)
+        config = platform.make_config(1)
         patch = {"method": b"PATCH"}
-        assert await change(world, 1, config, 0) == 200
-        assert await change(world, 1, world.make_config(3), 0) == 412
+        assert await send_change_until_known(platform, 1, config, 0) == 200
+        assert (
+            await send_change_until_known(platform, 1, platform.make_config(3), 0)
+            == 412
+        )
         bad = {"Version": "00000003", "Remove": {"Services": ["keyed"]}}
-        assert await change(world, 0, bad, 1, **patch) == 422
-        assert await change(world, 0, b"{", 1, **patch) == 400
+        assert await send_change_until_known(platform, 0, bad, 1, **patch) == 422
+        assert await send_change_until_known(platform, 0, b"{", 1, **patch) == 400
 
-        await world.control[0].end()
+        await platform.control_hosts[0].terminate()
         added = make_route("read", PathPrefix="/more/")
         more = {"Version": "00000007", "Upsert": {"Routes": {"more": added}}}
-        assert await change(world, 1, more, 1, **patch) == 200
+        assert await send_change_until_known(platform, 1, more, 1, **patch) == 200
 
         async def read():
-            status, body = await world.read(world.control[2])
+            status, body = await platform.read_config(platform.control_hosts[2])
             return json.loads(body) if status == 200 else None
 
-        found = await until(read)
-        assert found["Version"] == "00000007"
-        assert set(found["Routes"]) == {*config["Routes"], "more"}
+        config_read = await wait_until(read)
+        assert config_read["Version"] == "00000007"
+        assert set(config_read["Routes"]) == {*config["Routes"], "more"}
 
-        stopping, other = world.places
+        stopping, other = platform.server_hosts
         stopping.server.server.seconds = 0.5
-        running = asyncio.ensure_future(ask(world, other, 5))
-        own = asyncio.ensure_future(ask(world, stopping, 40000))
+        other_request = asyncio.ensure_future(send_read(platform, other, 5))
+        own_request = asyncio.ensure_future(send_read(platform, stopping, 40000))
         stopping.machine.process.send_signal(signal.SIGTERM)
-        assert (await running)[0] == 200 and (await own)[0] == 200
+        assert (await other_request)[0] == 200 and (await own_request)[0] == 200
         assert await stopping.machine.process.wait() == 0
-        await world.start_host(stopping)
-        await until(world.is_ready)
-        assert (await ask(world, stopping, 5))[0] == 200
+        await platform.start_host(stopping)
+        await wait_until(platform.is_ready)
+        assert (await send_read(platform, stopping, 5))[0] == 200
 
         leaving = other.server
         leaving.state = "draining"
 
-        async def handed_over():
+        async def has_handed_over():
             return not leaving.has_keys and stopping.server.holds(50000)
 
-        await until(handed_over)
-        assert (await ask(world, other, 50000))[0] == 200
+        await wait_until(has_handed_over)
+        assert (await send_read(platform, other, 50000))[0] == 200
 
-    play(tmp_path, scenario, granting=granting)
+    run_scenario(tmp_path, scenario, granting=granting)
 
 
 @pytest.mark.parametrize("granting", ["heartbeat", "request"])
-def test_a_server_starts_again_under_its_id(tmp_path, granting):
-    # A server ends and is back before anybody missed it, with its id and at
-    # another port. It holds nothing: its keys are served again once it, or the
-    # other one, is granted them anew, under higher fences. When it leaves, it is
-    # the new life that gets nothing more.
-    async def scenario(world):
-        place = world.places[0]
-        before = place.server
-        keys = [key for key in range(0, 65536, 997) if before.holds(key)]
-        fence = max(before.fence_of(key) for key in keys)
-        await world.crash_server(place)
-        world.start_server(place, again=True)
-        assert place.server.id == before.id and place.server.born > before.born
+def test_keys_are_granted_anew_to_a_server_that_restarts_under_its_id(
+    tmp_path, granting
+):
+    # A server crashes and restarts with the same id on another port before its failure
+    # is detected. It holds no keys, so they must be granted anew, to it or to the other
+    # server, under higher fencing tokens. A later departure must end the new instance.
+    async def scenario(platform):
+        server_host = platform.server_hosts[0]
+        old_server = server_host.server
+        keys = [key for key in range(0, 65536, 997) if old_server.holds(key)]
+        fence = max(old_server.fence_of(key) for key in keys)
+        await platform.crash_server(server_host)
+        platform.start_server(server_host, same_id=True)
+        assert (
+            server_host.server.id == old_server.id
+            and server_host.server.started_ms > old_server.started_ms
+        )
 
-        async def served_again():
-            told = [await ask(world, world.places[1], key) for key in keys[::9]]
-            return all(status == 200 for status, _ in told) and place.server.has_keys
+        async def are_served_again():
+            answers = [
+                await send_read(platform, platform.server_hosts[1], key)
+                for key in keys[::9]
+            ]
+            return (
+                all(status == 200 for status, _ in answers)
+                and server_host.server.has_keys
+            )
 
-        await until(served_again)
-        held = [key for key in keys if place.server.holds(key)]
-        assert all(place.server.fence_of(key) > fence for key in held)
+        await wait_until(are_served_again)
+        held = [key for key in keys if server_host.server.holds(key)]
+        assert all(server_host.server.fence_of(key) > fence for key in held)
 
-        # Its departure is that of the new life: the other one takes all over.
-        assert await place.server.leave()
+        # The departure ends the new instance: the other server takes over all keys.
+        assert await server_host.server.send_departure()
 
-        async def taken_over():
-            return all(world.places[1].server.holds(key) for key in keys)
+        async def has_taken_over():
+            return all(platform.server_hosts[1].server.holds(key) for key in keys)
 
-        await until(taken_over)
+        await wait_until(has_taken_over)
 
-    play(tmp_path, scenario, granting=granting)
+    run_scenario(tmp_path, scenario, granting=granting)
 
 
-def test_a_missing_setting_ends_the_process_with_every_finding(tmp_path):
+def test_a_process_with_bad_settings_exits_and_prints_every_finding(tmp_path):
     async def main():
         path = tmp_path / "bad.conf"
         path.write_text("NodeName=x\nServes=control_plane\nHeartbeat=soon\n")
--- a/guavastream/platform/tests/test_wire.py
+++ b/guavastream/platform/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Bodies of the platform's calls, sound and not."""
+"""Decoding and encoding of valid and invalid bodies of the platform's calls."""
 
 import json
 
@@ -7,9 +7,9 @@
 from guavastream.exception import FindingsError
 from guavastream.fleet import FleetState, HeartbeatAnswer
 from guavastream.platform.wire import (
-    decode_beat,
     decode_change,
-    encode_beaten,
+    decode_heartbeat,
+    encode_acknowledgement,
     encode_config,
 )
 from guavastream.routes import Granting, RetrySafety, RouteIndex
@@ -42,7 +42,7 @@
         "IdleTimeout": "15000ms",
     },
 }
-BEAT = {
+HEARTBEAT_BODY = {
     "Service": "s",
     "Address": "10.0.0.9:8080",
     "Zone": "a",
@@ -56,29 +56,31 @@
 }
 
 
-def put(config, base=b"00000005"):
+def decode_put(config, base=b"00000005"):
     return decode_change(b"PUT", base, json.dumps(config).encode())
 
 
-def test_a_configuration_is_read_and_given_back_as_it_was_sent():
-    command = put(CONFIG)
+def test_a_configuration_is_decoded_and_returned_as_it_was_sent():
+    command = decode_put(CONFIG)
     assert (command.base, command.version, command.whole) == (5, 12, True)
-    book, answer = FleetState().apply(1, put(CONFIG, b"0"))
+    fleet_state, answer = FleetState().apply(1, decode_put(CONFIG, b"0"))
     assert answer.code == "ok"
-    assert json.loads(encode_config(book.config)) == CONFIG
-    route = RouteIndex(book.config).find(b"jepu9.example", b"/lepu270/2f")
+    assert json.loads(encode_config(fleet_state.config)) == CONFIG
+    route = RouteIndex(fleet_state.config).find(b"jepu9.example", b"/lepu270/2f")
     assert route.retry_safety is RetrySafety.UNSAFE and route.timeout == 1.2
     assert [part.weight for part in route.weighted_services] == [90, 10]
-    assert book.config.limits.idle_seconds == 15.0
+    assert fleet_state.config.limits.idle_seconds == 15.0
 
 
-def test_the_same_content_is_the_same_change_and_any_other_is_not():
-    assert put(CONFIG).digest == put(CONFIG).digest
-    assert put(CONFIG).digest != put(CONFIG, b"00000006").digest
-    assert put(CONFIG).digest != put(CONFIG | {"Version": "0000000d"}).digest
+def test_only_equal_changes_have_equal_digests():
+    assert decode_put(CONFIG).digest == decode_put(CONFIG).digest
+    assert decode_put(CONFIG).digest != decode_put(CONFIG, b"00000006").digest
+    assert (
+        decode_put(CONFIG).digest != decode_put(CONFIG | {"Version": "0000000d"}).digest
+    )
 
 
-def test_named_items_change():
+def test_a_patch_changes_and_removes_single_items():
     body = {
         "Version": "0000000d",
         "Upsert": {"Routes": {"r": ROUTE | {"Timeout": "1s"}}},
@@ -108,30 +110,34 @@
         ),
     ],
 )
-def test_what_cannot_be_read_is_named(change, places):
+def test_every_bad_item_of_a_configuration_is_reported(change, places):
     with pytest.raises(FindingsError) as caught:
-        put(CONFIG | change)
+        decode_put(CONFIG | change)
     assert [finding.place for finding in caught.value.findings] == places
 
 
-def test_a_body_that_is_cut_short_or_names_no_base():
+def test_a_truncated_body_or_a_missing_base_version_is_rejected():
     body = json.dumps(CONFIG).encode()
-    for cut in (b"", body[:-1], body[:50], b"\xff", b"[" * 100000):
+    for truncated in (b"", body[:-1], body[:50], b"\xff", b"[" * 100000):
         with pytest.raises(FindingsError):
-            decode_change(b"PUT", b"0", cut)
+            decode_change(b"PUT", b"0", truncated)
     with pytest.raises(FindingsError):
         decode_change(b"PUT", b"", body)
 
 
-def beat(**changes):
-    body = json.dumps(BEAT | changes).encode()
-    return decode_beat("i-1", body, host="h", door="d")
+def decode_heartbeat_with(**changes):
+    body = json.dumps(HEARTBEAT_BODY | changes).encode()
+    return decode_heartbeat("i-1", body, host="h", door="d")
 
 
-def test_a_heartbeat_is_read():
-    made = beat(State="draining")
-    assert made.leaving and made.cold_seconds == 1.5 and made.holds == ((0, 4095, 7),)
-    assert made.released == ((4096, 8191, "5c0e"),)
+def test_a_heartbeat_is_decoded():
+    heartbeat = decode_heartbeat_with(State="draining")
+    assert (
+        heartbeat.leaving
+        and heartbeat.cold_seconds == 1.5
+        and heartbeat.holds == ((0, 4095, 7),)
+    )
+    assert heartbeat.released == ((4096, 8191, "5c0e"),)
 
 
 @pytest.mark.parametrize(
@@ -147,27 +153,30 @@
         {"ColdRemaining": "-1s"},
     ],
 )
-def test_a_heartbeat_out_of_range_is_refused(changes):
+def test_a_heartbeat_with_a_bad_value_is_rejected(changes):
     with pytest.raises(FindingsError):
-        beat(**changes)
+        decode_heartbeat_with(**changes)
 
 
-def test_an_acknowledgement_without_rows_renews_nothing():
-    assert json.loads(encode_beaten(HeartbeatAnswer(index=1))) == {}
+def test_an_acknowledgement_without_rows_has_no_holds():
+    assert json.loads(encode_acknowledgement(HeartbeatAnswer(index=1))) == {}
     none = HeartbeatAnswer(index=1, rows=(), hold=3.0)
-    assert json.loads(encode_beaten(none)) == {"Holds": [], "Hold": "3000ms"}
+    assert json.loads(encode_acknowledgement(none)) == {"Holds": [], "Hold": "3000ms"}
     rows = HeartbeatAnswer(index=1, rows=((0, 9, 4, ""), (20, 30, 5, "t")), hold=3.0)
-    said = json.loads(encode_beaten(rows))
-    assert said["Holds"] == [[0, 9, 4, ""], [20, 30, 5, "t"]]
+    body = json.loads(encode_acknowledgement(rows))
+    assert body["Holds"] == [[0, 9, 4, ""], [20, 30, 5, "t"]]
 
 
-def test_the_largest_acknowledgement_stays_within_its_bound():
+def test_an_acknowledgement_of_90_rows_fits_in_4096_bytes():
     rows = tuple((65000 + n, 65000 + n, 10**6, "f" * 16) for n in range(90))
-    assert len(encode_beaten(HeartbeatAnswer(index=1, rows=rows, hold=3.0))) <= 4096
+    assert (
+        len(encode_acknowledgement(HeartbeatAnswer(index=1, rows=rows, hold=3.0)))
+        <= 4096
+    )
 
 
 @pytest.mark.parametrize(
-    ("said", "granting"),
+    ("granting_fields", "granting"),
     [
         ({}, None),
         ({"Grants": "heartbeat"}, Granting.HEARTBEAT),
@@ -175,7 +184,7 @@
         ({"Grants": "pigeon"}, Granting.UNKNOWN),
     ],
 )
-def test_how_a_service_is_granted_keys(said, granting):
-    services = {"huvo11a": CONFIG["Services"]["huvo11a"] | said}
-    change = put(CONFIG | {"Services": services, "Routes": {}})
+def test_the_granting_of_a_service_is_decoded(granting_fields, granting):
+    services = {"huvo11a": CONFIG["Services"]["huvo11a"] | granting_fields}
+    change = decode_put(CONFIG | {"Services": services, "Routes": {}})
     assert change.services[0].granting is granting
--- a/guavastream/platform/tests/test_words.py
+++ b/guavastream/platform/tests/test_words.py
@@ -1,4 +1,4 @@
-"""The platform's names stand in the adapter and nowhere else."""
+"""Guards against names of the platform outside its adapter."""
 
 import pathlib
 import re
@@ -6,7 +6,7 @@
 import guavastream
 
 ROOT = pathlib.Path(guavastream.__file__).parent
-WORDS = re.compile(
+PLATFORM_NAMES = re.compile(
     r"Response-Seal|Not-Executed|Server-Load|HeartbeatUrl|Expected-Instance"
     r"|Caller-Service|ColdRemaining|WeightedServices|Shard-Key|Instance-Id"
     r"|MaxAttempts|TargetLatency|PathPrefix|GUAVASTREAM_BOOT|InternalPorts"
@@ -14,12 +14,12 @@
 )
 
 
-def test_no_word_of_the_platform_outside_its_adapter():
+def test_names_of_the_platform_appear_only_in_its_adapter():
     found = [
         f"{path}: {match[0]}"
         for path in ROOT.rglob("*.py")
         if "platform" not in path.relative_to(ROOT).parts
-        for match in [WORDS.search(path.read_text(encoding="utf-8"))]
+        for match in [PLATFORM_NAMES.search(path.read_text(encoding="utf-8"))]
         if match
     ]
     assert found == []
--- a/guavastream/platform/wire.py
+++ b/guavastream/platform/wire.py
@@ -1,4 +1,4 @@
-"""Bodies of the platform's calls, decoded into the product's types."""
+"""Decoding and encoding of the bodies of the platform's API calls."""
 
 from typing import Annotated, Any
 
@@ -8,7 +8,7 @@
 from guavastream.exception import Finding, FindingsError
 from guavastream.fleet import KEY_COUNT, ChangeRoutes, Heartbeat
 from guavastream.kernel import parse_address
-from guavastream.platform.keys import GRANTING, MOST_HANDOVER
+from guavastream.platform.keys import GRANTING_BY_NAME, MAX_HANDOVER_LENGTH
 from guavastream.platform.units import (
     format_time,
     format_version,
@@ -25,8 +25,8 @@
     WeightedService,
 )
 
-__all__ = ["DIALECT", "decode_beat", "decode_change", "decode_left"]
-__all__ += ["encode_beaten", "encode_config"]
+__all__ = ["DIALECT", "decode_heartbeat", "decode_change", "decode_departure"]
+__all__ += ["encode_acknowledgement", "encode_config"]
 
 DIALECT = Dialect(
     request_id=b"Request-Id",
@@ -42,137 +42,151 @@
 
 DRAINING = "draining"
 STATES = ("ready", DRAINING)
-# Kinds of requests are the words of `RetrySafety`.
-MOST_ID = 200
-# Bounds of what is taken from other writers: whatever passes is kept in the book
-# and sent to all hosts. Numbers are those that messages can carry; a heartbeat
-# has some 90 rows, and more while it releases many.
-MOST_NUMBER = 2**63 - 1
-MOST_WEIGHT = 1e9
-MOST_TEXT = 255
-MOST_ROWS = 2048
-# A server that is cold for longer is not one that starts.
-MOST_COLD_SECONDS = 3600.0
-# Between what a server calls itself and the start of one of its lives.
-LIFE_MARK = "~"
-
-
-_Count = Annotated[int, msgspec.Meta(ge=-MOST_NUMBER, le=MOST_NUMBER)]
-_Weight = Annotated[float, msgspec.Meta(ge=-MOST_WEIGHT, le=MOST_WEIGHT)]
-
-
-class _Split(msgspec.Struct, rename="pascal"):
+MAX_ID_LENGTH = 200
+# Limits on input from other processes: everything accepted is stored in the fleet state
+# and sent to all hosts. Messages carry signed 64-bit integers. A heartbeat usually has
+# about 90 rows, and more while it releases many.
+MAX_INTEGER = 2**63 - 1
+MAX_WEIGHT = 1e9
+MAX_TEXT_LENGTH = 255
+MAX_ROWS = 2048
+# A longer warm-up is not plausible for a server that has just started.
+MAX_COLD_SECONDS = 3600.0
+# Separates a server's own id from its start time in the id of an instance.
+INSTANCE_SEPARATOR = "~"
+
+
+_Integer = Annotated[int, msgspec.Meta(ge=-MAX_INTEGER, le=MAX_INTEGER)]
+_WeightValue = Annotated[float, msgspec.Meta(ge=-MAX_WEIGHT, le=MAX_WEIGHT)]
+
+
+class _WeightedService(msgspec.Struct, rename="pascal"):
     service: str
-    weight: _Weight
+    weight: _WeightValue
 
 
 class _Route(msgspec.Struct, rename="pascal"):
     host: str
     path_prefix: str
+    # A value of `RetrySafety`.
     kind: RetrySafety
     timeout: str
-    max_attempts: _Count
-    # The time within which an answer earns its full credit.
+    max_attempts: _Integer
+    # Latency within which an answer counts in full; defaults to the timeout.
     target_latency: str = ""
-    priority: _Count = 0
+    priority: _Integer = 0
     service: str = ""
-    weighted_services: tuple[_Split, ...] = ()
+    weighted_services: tuple[_WeightedService, ...] = ()
 
 
 class _Service(msgspec.Struct, rename="pascal"):
     health_path: str = "/health"
-    max_connections: _Count = 120
+    max_connections: _Integer = 120
     sharding: bool = False
     warmup: str = "0ms"
     grants: str = ""
 
 
 class _Limits(msgspec.Struct, rename="pascal"):
-    max_header_bytes: _Count = 16384
-    max_body_bytes: _Count = 64 << 20
+    max_header_bytes: _Integer = 16384
+    max_body_bytes: _Integer = 64 << 20
     header_timeout: str = "3000ms"
     idle_timeout: str = "15000ms"
 
 
-class _Items(msgspec.Struct, rename="pascal"):
+class _ChangedItems(msgspec.Struct, rename="pascal"):
     routes: dict[str, msgspec.Raw] = {}
     services: dict[str, msgspec.Raw] = {}
     limits: msgspec.Raw = msgspec.field(default_factory=msgspec.Raw)
 
 
-class _Names(msgspec.Struct, rename="pascal"):
+class _RemovedItems(msgspec.Struct, rename="pascal"):
     routes: list[str] = []
     services: list[str] = []
 
 
-class _Put(msgspec.Struct, rename="pascal"):
+class _PutBody(msgspec.Struct, rename="pascal"):
     version: str
     routes: dict[str, msgspec.Raw]
     services: dict[str, msgspec.Raw]
     limits: msgspec.Raw = msgspec.field(default_factory=msgspec.Raw)
 
 
-class _Patch(msgspec.Struct, rename="pascal"):
+class _PatchBody(msgspec.Struct, rename="pascal"):
     version: str
-    upsert: _Items = msgspec.field(default_factory=_Items)
-    remove: _Names = msgspec.field(default_factory=_Names)
+    upsert: _ChangedItems = msgspec.field(default_factory=_ChangedItems)
+    remove: _RemovedItems = msgspec.field(default_factory=_RemovedItems)
 
 
-class _Beat(msgspec.Struct, rename="pascal"):
+class _HeartbeatBody(msgspec.Struct, rename="pascal"):
     service: str
     address: str
     slots: int
     seq: int
     state: str = "ready"
     zone: str = ""
-    # Of the server's software.
+    # Version of the server's software.
     version: str = ""
     cold_remaining: str = "0ms"
+    # Rows of keys held: first key, last key, fencing token.
     holds: list[tuple[int, int, int]] = []
-    # Rows given up since the last acknowledged heartbeat, with what the next
-    # holder needs.
+    # Rows released since the last acknowledged heartbeat: first key, last key and the
+    # handover data for the next owner.
     released: list[tuple[int, int, str]] = []
-    # When this life of the server began, Unix time in ms.
+    # Start of this instance, Unix time in ms; 0 if the server does not send it.
     born: int = msgspec.field(default=0, name="born")
 
 
-class _Left(msgspec.Struct):
-    born: Annotated[int, msgspec.Meta(ge=0, le=MOST_NUMBER)] = 0
+class _DepartureBody(msgspec.Struct):
+    born: Annotated[int, msgspec.Meta(ge=0, le=MAX_INTEGER)] = 0
 
 
-class _Beaten(msgspec.Struct, rename="pascal", omit_defaults=True):
+class _AcknowledgementBody(msgspec.Struct, rename="pascal", omit_defaults=True):
     holds: list | None = None
     hold: str = ""
 
 
-def _bad(place, text):
+def _bad_value_error(place, text):
     return FindingsError([Finding(place=place, code="bad_value", text=str(text))])
 
 
-def _decode(cls, data, place):
+def _decode_json(cls, data, place):
     try:
         return msgspec.json.decode(data, type=cls)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise _bad(place, error) from error
+        raise _bad_value_error(place, error) from error
 
 
-def decode_beat(id, data, *, host, door):
-    """Return the `Heartbeat` of a heartbeat's body.
+def decode_heartbeat(id, data, *, host, door):
+    """Decode the body of a heartbeat.
+
+    Parameters
+    ----------
+    id : str
+        Id of the server, from the path of the call.
+    data : bytes
+        Body.
+    host, door : str
+        Name and inbound address of the host that received the heartbeat.
+
+    Returns
+    -------
+    Beat
 
     Raises
     ------
     FindingsError
-        If it cannot be read.
+        With every bad value, or if the body is malformed.
     """
-    raw = _decode(_Beat, data, "heartbeat")
+    raw = _decode_json(_HeartbeatBody, data, "heartbeat")
     findings = [
         Finding(place=name, code="bad_value", text=text)
-        for name, text in _beat_errors(id, raw)
+        for name, text in _heartbeat_errors(id, raw)
     ]
     if findings:
         raise FindingsError(findings)
     return Heartbeat(
-        id=f"{id}{LIFE_MARK}{raw.born}" if raw.born else id,
+        id=f"{id}{INSTANCE_SEPARATOR}{raw.born}" if raw.born else id,
         name=id,
         born=raw.born,
         service=raw.service,
@@ -190,42 +204,42 @@
     )
 
 
-def _beat_errors(id, raw):
-    """Yield the name of each bad value of a heartbeat, and what is wrong with it."""
-    if not 0 < len(id) <= MOST_ID:
+def _heartbeat_errors(id, raw):
+    """Yield the field name and an error text for each bad value of a heartbeat."""
+    if not 0 < len(id) <= MAX_ID_LENGTH:
         yield "Id", "Is empty or too long."
     if raw.state not in STATES:
-        yield "State", f"{raw.state[:MOST_TEXT]!r} is not known."
+        yield "State", f"{raw.state[:MAX_TEXT_LENGTH]!r} is not known."
     if not 0 < raw.slots < 1 << 20:
         yield "Slots", "Is out of range."
     for name, number in (("Seq", raw.seq), ("born", raw.born)):
-        if not 0 <= number <= MOST_NUMBER:
+        if not 0 <= number <= MAX_INTEGER:
             yield name, "Is out of range."
     texts = {"Service": raw.service, "Zone": raw.zone, "Version": raw.version}
     for name, text in texts.items():
-        if len(text) > MOST_TEXT:
+        if len(text) > MAX_TEXT_LENGTH:
             yield name, "Is too long."
     if not _is_address(raw.address):
-        yield "Address", "Is no IP number and port."
+        yield "Address", "Must be an IP address and a port."
     try:
-        if parse_time(raw.cold_remaining) > MOST_COLD_SECONDS:
+        if parse_time(raw.cold_remaining) > MAX_COLD_SECONDS:
             yield "ColdRemaining", "Is out of range."
     except ValueError as error:
         yield "ColdRemaining", str(error)
     for name, rows in (("Holds", raw.holds), ("Released", raw.released)):
-        if len(rows) > MOST_ROWS:
-            yield name, "Are too many rows."
+        if len(rows) > MAX_ROWS:
+            yield name, "Has too many rows."
         if any(not 0 <= row[0] <= row[1] < KEY_COUNT for row in rows):
             yield name, "A row is out of range."
-    if any(not 0 <= row[2] <= MOST_NUMBER for row in raw.holds):
+    if any(not 0 <= row[2] <= MAX_INTEGER for row in raw.holds):
         yield "Holds", "A fence is out of range."
-    if any(len(row[2]) > MOST_HANDOVER for row in raw.released):
+    if any(len(row[2]) > MAX_HANDOVER_LENGTH for row in raw.released):
         yield "Released", "A handover is too long."
 
 
 def _is_address(text):
-    """Whether a text is what others can connect to."""
-    if len(text) > MOST_TEXT:
+    """Return whether a text is an IP address and a port to connect to."""
+    if len(text) > MAX_TEXT_LENGTH:
         return False
     try:
         return parse_address(text)[1] > 0
@@ -233,87 +247,96 @@
         return False
 
 
-def decode_left(data):
-    """Return the start of the life that says that it ends, 0 if it is not said.
+def decode_departure(data):
+    """Decode the body of a departure: the start time of the departing instance.
+
+    Returns
+    -------
+    int
+        Unix time in ms, or 0 if the body is empty or does not contain it.
 
     Raises
     ------
     FindingsError
-        If the body cannot be read.
+        If the body is malformed.
     """
-    return _decode(_Left, data, "departure").born if data else 0
+    return _decode_json(_DepartureBody, data, "departure").born if data else 0
 
 
-def encode_beaten(answer):
-    """Return the body of an acknowledgement."""
+def encode_acknowledgement(answer):
+    """Return the body of the answer to a heartbeat."""
     if answer.rows is None:
         return b"{}"
-    body = _Beaten(holds=list(answer.rows), hold=format_time(answer.hold))
+    body = _AcknowledgementBody(holds=list(answer.rows), hold=format_time(answer.hold))
     return msgspec.json.encode(body)
 
 
 def decode_change(method, base, data):
-    """Return the `ChangeRoutes` of an operator's call.
+    """Decode an operator's change of the configuration into a `ChangeRoutes`.
 
     Parameters
     ----------
     method : bytes
-        PUT carries a whole configuration, PATCH named items.
+        PUT for a complete configuration, PATCH for single items.
     base : bytes
-        Version on which it builds, as its header says.
+        Version that the change is based on: the value of the If-Match header.
     data : bytes
         Body.
 
     Raises
     ------
     FindingsError
-        With every finding about single items, or the first about the whole.
+        With every bad item, or with the first error if the body is malformed.
     """
     whole = method == b"PUT"
-    raw = _decode(_Put if whole else _Patch, data, "configuration")
-    items, drop = (raw, _Names()) if whole else (raw.upsert, raw.remove)
+    raw = _decode_json(_PutBody if whole else _PatchBody, data, "configuration")
+    items, removed = (raw, _RemovedItems()) if whole else (raw.upsert, raw.remove)
     findings = []
 
-    def collect(place, build, *args):
+    def collect_errors(place, build, *args):
         try:
             return build(*args)
         except (msgspec.DecodeError, ValueError, UnicodeDecodeError) as error:
-            found = Finding(place=place, code="bad_value", text=str(error))
-            findings.append(found)
+            finding = Finding(place=place, code="bad_value", text=str(error))
+            findings.append(finding)
             return None
 
-    number = collect("Version", parse_version, raw.version)
-    built_on = collect("If-Match", parse_version, base.decode("latin-1").strip('"'))
+    number = collect_errors("Version", parse_version, raw.version)
+    base_version = collect_errors(
+        "If-Match", parse_version, base.decode("latin-1").strip('"')
+    )
     routes = [
-        collect(f"Routes.{name}", _route, name, bytes(item))
+        collect_errors(f"Routes.{name}", _decode_route, name, bytes(item))
         for name, item in items.routes.items()
     ]
     services = [
-        collect(f"Services.{name}", _service, name, bytes(item))
+        collect_errors(f"Services.{name}", _decode_service, name, bytes(item))
         for name, item in items.services.items()
     ]
     limits = None
     if bytes(items.limits):
-        limits = collect("Limits", _limits, bytes(items.limits))
+        limits = collect_errors("Limits", _decode_limits, bytes(items.limits))
     if findings:
         raise FindingsError(findings)
-    said = b"%d\n%d\n%d\n" % (whole, built_on, number)
+    digest_prefix = b"%d\n%d\n%d\n" % (whole, base_version, number)
     return ChangeRoutes(
-        base=built_on,
+        base=base_version,
         version=number,
-        digest=xxhash.xxh3_128_digest(said + data),
+        digest=xxhash.xxh3_128_digest(digest_prefix + data),
         whole=whole,
         routes=tuple(routes),
         services=tuple(services),
         limits=limits,
-        drop_routes=tuple(drop.routes),
-        drop_services=tuple(drop.services),
+        drop_routes=tuple(removed.routes),
+        drop_services=tuple(removed.services),
     )
 
 
-def _route(name, origin):
+def _decode_route(name, origin):
     raw = msgspec.json.decode(origin, type=_Route)
-    split = raw.weighted_services or [_Split(service=raw.service, weight=1.0)]
+    weighted = raw.weighted_services or [
+        _WeightedService(service=raw.service, weight=1.0)
+    ]
     timeout = parse_time(raw.timeout)
     return Route(
         name=name,
@@ -325,13 +348,13 @@
         priority=raw.priority,
         attempts=raw.max_attempts,
         weighted_services=tuple(
-            WeightedService(service=p.service, weight=p.weight) for p in split
+            WeightedService(service=p.service, weight=p.weight) for p in weighted
         ),
         raw_json=origin,
     )
 
 
-def _service(name, origin):
+def _decode_service(name, origin):
     raw = msgspec.json.decode(origin, type=_Service)
     return ServiceRules(
         name=name,
@@ -339,15 +362,17 @@
         keyed=raw.sharding,
         warmup=parse_time(raw.warmup),
         health=raw.health_path,
-        granting=GRANTING.get(raw.grants, Granting.UNKNOWN) if raw.grants else None,
+        granting=GRANTING_BY_NAME.get(raw.grants, Granting.UNKNOWN)
+        if raw.grants
+        else None,
         raw_json=origin,
     )
 
 
-def _limits(origin):
+def _decode_limits(origin):
     raw = msgspec.json.decode(origin, type=_Limits)
     if min(raw.max_header_bytes, raw.max_body_bytes) < 0:
-        raise ValueError("a bound is negative")
+        raise ValueError("a limit is negative")
     return CallerLimits(
         head_bytes=raw.max_header_bytes,
         body_bytes=raw.max_body_bytes,
@@ -358,7 +383,7 @@
 
 
 def encode_config(config):
-    """Return the body that tells a configuration, laid out as it was sent."""
+    """Return the body of a configuration, with every item as the operator sent it."""
     whole: dict[str, Any] = {
         "Version": format_version(config.version),
         "Routes": {n: msgspec.Raw(r.raw_json) for n, r in config.routes.items()},
--- a/guavastream/soak/__init__.py
+++ b/guavastream/soak/__init__.py
@@ -1,4 +1,4 @@
-"""A randomized fault soak: schedules of faults, and the promises it checks."""
+"""Randomized fault schedules and the invariants that a soak test checks."""
 
 from guavastream.soak.ledger import *
 from guavastream.soak.schedule import *
--- a/guavastream/soak/schedule.py
+++ b/guavastream/soak/schedule.py
@@ -1,14 +1,14 @@
-"""Which faults strike what and when, drawn from a seed."""
+"""Random schedules of faults, reproducible from a seed."""
 
 import random
 from dataclasses import dataclass
 
 __all__ = ["Fault", "KINDS", "make_schedule"]
 
-# Faults of one control host at a time are all that the smallest group bears:
-# the next one waits until the one before has caught up, seconds.
+# The smallest control group, of three, tolerates one failed member at a time. Faults of
+# control hosts are therefore spaced so that the previous host has caught up, seconds.
 CATCH_UP_SECONDS = 4.0
-# Processes and connections that fail, by what they belong to.
+# Kinds of faults by the group of processes, servers or connections they affect.
 KINDS = {
     "control": ("kill", "freeze", "stop", "wipe"),
     "host": ("kill", "freeze", "stop"),
@@ -16,15 +16,24 @@
 }
 SHORTEST_SECONDS = 0.3
 LONGEST_SECONDS = 2.5
-# Mean time between faults, seconds; with the above, two overlap on average.
-GAP_SECONDS = 0.7
+# Mean time between faults. With the durations above, two faults overlap on average.
+MEAN_GAP_SECONDS = 0.7
 
 
 @dataclass(frozen=True, kw_only=True)
 class Fault:
-    """`kind` strikes target number `target` of a group `at` seconds.
+    """A fault of one target.
 
-    What ends by itself does so after `seconds`.
+    Parameters
+    ----------
+    at : float
+        Start, seconds after the start of the schedule.
+    group, kind : str
+        A key of `KINDS` and one of its values.
+    target : int
+        Index of the target in its group.
+    seconds : float
+        Duration, for kinds that end by themselves.
     """
 
     at: float
@@ -35,16 +44,16 @@
 
 
 def make_schedule(*, seed, seconds, counts):
-    """Return faults in their order.
+    """Return a tuple of faults ordered by their start.
 
     Parameters
     ----------
     seed : int
         Equal seeds give equal schedules.
     seconds : float
-        Faults begin before this.
+        All faults begin before this time.
     counts : dict of str to int
-        How many control hosts, hosts and servers there are.
+        Number of targets in each group of `KINDS`.
 
     Examples
     --------
@@ -54,9 +63,9 @@
     True
     """
     rng = random.Random(seed)
-    faults, at, control_free = [], 0.0, 0.0
+    faults, at, control_free_at = [], 0.0, 0.0
     while True:
-        at += rng.expovariate(1 / GAP_SECONDS)
+        at += rng.expovariate(1 / MEAN_GAP_SECONDS)
         if at >= seconds:
             return tuple(faults)
         group = rng.choice(sorted(KINDS))
@@ -68,7 +77,7 @@
             seconds=rng.uniform(SHORTEST_SECONDS, LONGEST_SECONDS),
         )
         if group == "control":
-            if at < control_free:
+            if at < control_free_at:
                 continue
-            control_free = at + fault.seconds + CATCH_UP_SECONDS
+            control_free_at = at + fault.seconds + CATCH_UP_SECONDS
         faults.append(fault)
--- a/guavastream/soak/tests/test_ledger.py
+++ b/guavastream/soak/tests/test_ledger.py
@@ -1,112 +1,112 @@
-"""Each promise of the ledger can be seen broken, and a sound day passes."""
+"""The ledger detects a violation of each invariant, and accepts a correct run."""
 
 import pytest
 
 from guavastream.soak import KINDS, Ledger, make_schedule
 
 
-def ask(ledger, id=b"1", *, repeatable=False):
-    ledger.asked(id, b"POST", b"/pay", b"x", repeatable=repeatable)
+def record_request_of_caller(ledger, id=b"1", *, idempotent=False):
+    ledger.record_request(id, b"POST", b"/pay", b"x", idempotent=idempotent)
 
 
-def run(ledger, id=b"1", *, server="a", at=0.0, target=b"/pay"):
-    ledger.ran(id, b"POST", target, b"x", server=server, at=at)
+def run_request(ledger, id=b"1", *, server="a", at=0.0, target=b"/pay"):
+    ledger.record_run(id, b"POST", target, b"x", server=server, at=at)
 
 
-def twice(ledger):
-    ask(ledger)
-    run(ledger)
-    run(ledger, server="b")
+def run_twice(ledger):
+    record_request_of_caller(ledger)
+    run_request(ledger)
+    run_request(ledger, server="b")
 
 
 def run_after_a_refusal(ledger):
-    ask(ledger)
-    ledger.answered(b"1", 503, b"", b"yes")
-    run(ledger)
+    record_request_of_caller(ledger)
+    ledger.record_answer(b"1", 503, b"", b"yes")
+    run_request(ledger)
 
 
-def somebody_elses_answer(ledger):
-    ask(ledger)
-    run(ledger)
-    ledger.answered(b"1", 200, b"no", b"yes")
+def wrong_answer(ledger):
+    record_request_of_caller(ledger)
+    run_request(ledger)
+    ledger.record_answer(b"1", 200, b"no", b"yes")
 
 
 def answer_without_a_run(ledger):
-    ask(ledger)
-    ledger.answered(b"1", 200, b"yes", b"yes")
+    record_request_of_caller(ledger)
+    ledger.record_answer(b"1", 200, b"yes", b"yes")
 
 
-def run_of_nobody(ledger):
-    run(ledger)
+def run_without_a_caller(ledger):
+    run_request(ledger)
 
 
-def changed(ledger):
-    ask(ledger)
-    run(ledger, target=b"/other")
+def changed_target(ledger):
+    record_request_of_caller(ledger)
+    run_request(ledger, target=b"/other")
 
 
-def late_at_a_leaving_server(ledger):
-    ask(ledger)
-    ledger.acknowledged_leave("a", 1.0)
-    run(ledger, at=3.5)
+def late_run_at_a_leaving_server(ledger):
+    record_request_of_caller(ledger)
+    ledger.record_departure("a", 1.0)
+    run_request(ledger, at=3.5)
 
 
-def two_holders(ledger):
-    ledger.owned(7, 1, server="a", others=["b"])
+def two_owners(ledger):
+    ledger.record_key_use(7, 1, server="a", others=["b"])
 
 
-def lower_fence(ledger):
-    ledger.owned(7, 5, server="a", others=[])
-    ledger.owned(7, 5, server="b", others=[])
+def reused_fencing_token(ledger):
+    ledger.record_key_use(7, 5, server="a", others=[])
+    ledger.record_key_use(7, 5, server="b", others=[])
 
 
-def older_configuration(ledger):
-    ledger.accepted(3, 1.0)
-    ledger.read(2, 3.5)
+def stale_configuration(ledger):
+    ledger.record_change(3, 1.0)
+    ledger.record_read(2, 3.5)
 
 
 @pytest.mark.parametrize(
-    "story, promise",
+    "record_events, invariant",
     [
-        (twice, "at most once"),
-        (run_after_a_refusal, "not run is true"),
-        (somebody_elses_answer, "own whole answer"),
-        (answer_without_a_run, "own whole answer"),
-        (run_of_nobody, "nobody else's request"),
-        (changed, "unchanged"),
-        (late_at_a_leaving_server, "nothing new at a leaving server"),
-        (two_holders, "one owner"),
-        (lower_fence, "rising fences"),
-        (older_configuration, "no older configuration"),
+        (run_twice, "requests run at most once"),
+        (run_after_a_refusal, "refused requests do not run"),
+        (wrong_answer, "answers are complete and match their request"),
+        (answer_without_a_run, "answers are complete and match their request"),
+        (run_without_a_caller, "only requests of callers run"),
+        (changed_target, "requests are forwarded unchanged"),
+        (late_run_at_a_leaving_server, "leaving servers get no new requests"),
+        (two_owners, "keys have one owner"),
+        (reused_fencing_token, "fencing tokens increase"),
+        (stale_configuration, "reads return no stale configuration"),
     ],
 )
-def test_a_broken_promise_is_seen(story, promise):
+def test_each_violation_is_detected(record_events, invariant):
     ledger = Ledger()
-    story(ledger)
-    assert [broken.promise for broken in ledger.verdict()] == [promise]
+    record_events(ledger)
+    assert [violation.invariant for violation in ledger.all_violations()] == [invariant]
 
 
-def test_a_sound_day_breaks_nothing():
+def test_a_correct_run_has_no_violations():
     ledger = Ledger()
     for number in range(3):
         id = b"%d" % number
-        ask(ledger, id, repeatable=number == 2)
-        run(ledger, id)
-        ledger.answered(id, 200, b"yes", b"yes")
-    run(ledger, b"2", server="b")
-    ledger.acknowledged_leave("a", 1.0)
-    ask(ledger, b"3")
-    run(ledger, b"3", at=2.5)
-    ledger.owned(7, 5, server="a", others=[])
-    ledger.owned(7, 5, server="a", others=[])
-    ledger.owned(7, 6, server="b", others=[])
-    ledger.accepted(3, 1.0)
-    ledger.read(2, 1.5)
-    ledger.read(3, 3.5)
-    assert ledger.verdict() == []
-
-
-def test_schedules_bear_one_lost_control_host_and_hold_every_kind():
+        record_request_of_caller(ledger, id, idempotent=number == 2)
+        run_request(ledger, id)
+        ledger.record_answer(id, 200, b"yes", b"yes")
+    run_request(ledger, b"2", server="b")
+    ledger.record_departure("a", 1.0)
+    record_request_of_caller(ledger, b"3")
+    run_request(ledger, b"3", at=2.5)
+    ledger.record_key_use(7, 5, server="a", others=[])
+    ledger.record_key_use(7, 5, server="a", others=[])
+    ledger.record_key_use(7, 6, server="b", others=[])
+    ledger.record_change(3, 1.0)
+    ledger.record_read(2, 1.5)
+    ledger.record_read(3, 3.5)
+    assert ledger.all_violations() == []
+
+
+def test_schedules_fault_one_control_host_at_a_time_and_contain_every_kind():
     counts = {"control": 3, "host": 4, "server": 4}
     seen = set()
     for seed in range(50):
