--- a/guavastream/hosts/key_keeper.py
+++ b/guavastream/hosts/key_keeper.py
@@ -8,7 +8,7 @@
 from guavastream.exception import GuavastreamError
 from guavastream.fleet import RenewKeys, ReturnKeys
 from guavastream.hosts.tasks import Tasks
-from guavastream.http1 import Client, CutOff, NotSent
+from guavastream.http1 import Client, IncompleteMessage, NotSent
 from guavastream.kernel import Signal, TimeLimit, part_logger, steady_time
 from guavastream.leases import KeyLeases
 from guavastream.relay import KeyOutcome
@@ -73,7 +73,7 @@
         ------
         NotSent
             If no connection can be made.
-        CutOff
+        IncompleteMessage
             If the connection ended before the answer.
         """
         path, body = self._dialect.encode(call)
@@ -309,7 +309,7 @@
             sent = False
             if error.refused:
                 self._on_refused(incarnation.instance)
-        except (CutOff, TimeoutError):
+        except (IncompleteMessage, TimeoutError):
             self._count("orders.lost")
         if result is None:
             leases.note_lost(call, sent=sent)
--- a/guavastream/hosts/server_host.py
+++ b/guavastream/hosts/server_host.py
@@ -10,7 +10,7 @@
 from guavastream.hosts.end_reporter import EndReporter
 from guavastream.hosts.key_keeper import KeyManager, KeySender
 from guavastream.hosts.tasks import Tasks
-from guavastream.http1 import Client, CutOff, Limits, NotSent, Server
+from guavastream.http1 import Client, IncompleteMessage, Limits, NotSent, Server
 from guavastream.kernel import (
     Counters,
     parse_address,
@@ -189,9 +189,9 @@
         self._outbound = Server(
             address=parse_address(settings.outbound),
             handler=self._ingress.handle,
-            most=MAX_CALLER_CONNECTIONS,
+            max_connections=MAX_CALLER_CONNECTIONS,
             note_refused=lambda status: self.counters.count(f"rejected.{status}"),
-            note_cut=lambda cut: self._log_cut("caller", cut),
+            note_aborted=lambda cut: self._log_cut("caller", cut),
         )
         self._inbound = Server(
             address=parse_address(settings.inbound),
@@ -199,11 +199,11 @@
             limits=Limits(
                 head_bytes=1 << 20, body_bytes=1 << 30, idle_seconds=HOP_IDLE_SECONDS
             ),
-            holds_bodies=True,
+            delays_continue=True,
             # The other hosts know this timeout, and traffic between zones is billed.
-            tells_idle=False,
-            farewell=CLOSING_RESPONSE,
-            note_cut=lambda cut: self._log_cut("host", cut),
+            announces_idle_timeout=False,
+            closing_response=CLOSING_RESPONSE,
+            note_aborted=lambda cut: self._log_cut("host", cut),
         )
         desk = RelayService(
             transport=self._transport,
@@ -287,7 +287,7 @@
 
     def _log_cut(self, peer, cut):
         """Log that a connection from a caller or a host was cut during a request."""
-        self.counters.count(f"cut.{peer}.{cut.why}")
+        self.counters.count(f"cut.{peer}.{cut.cause}")
         headers = cut.request.headers
         log.warning(
             "A connection was ended under a request.",
@@ -296,10 +296,10 @@
                     "latin-1"
                 ),
                 "peer": peer,
-                "why": cut.why,
-                "begun": cut.begun,
-                "whole": cut.whole,
-                "answered": cut.answered,
+                "why": cut.cause,
+                "begun": cut.handler_called,
+                "whole": cut.request_complete,
+                "answered": cut.response_sent,
                 "stopping": self.stopping,
                 "version": self._state_holder.table.config.version,
             },
@@ -451,7 +451,7 @@
                     probe.send(b"GET", path.encode(), headers)
                     answer = await probe.answer()
                     await answer.body.read_up_to(1 << 16)
-        except (NotSent, CutOff):
+        except (NotSent, IncompleteMessage):
             return False
         except TimeoutError:
             return True
@@ -505,7 +505,7 @@
         self._outbound.begin_close()
         await self._end_requests(limit)
         await asyncio.gather(
-            self._outbound.end_listening(), self._inbound.end_listening()
+            self._outbound.drain_listener(), self._inbound.drain_listener()
         )
         self._inbound.begin_close()
         await asyncio.sleep(LATE_REQUEST_SECONDS)
--- a/guavastream/hosts/tests/orders.py
+++ b/guavastream/hosts/tests/orders.py
@@ -9,7 +9,7 @@
 from guavastream.exception import GuavastreamError
 from guavastream.fleet import FleetStateCodec, Heartbeat, LoadReport, ReportEnd
 from guavastream.hosts.key_keeper import KeyManager
-from guavastream.http1 import CutOff, NotSent
+from guavastream.http1 import IncompleteMessage, NotSent
 from guavastream.leases import HoldTiming
 from guavastream.leases.messages import Watch
 from guavastream.relay import KeyOutcome, KeyResult
@@ -106,7 +106,7 @@
         if instance.id in self.unresponsive:
             await asyncio.sleep(60.0)
         if self._rng.random() < self._faults.lost:
-            raise CutOff("call lost")
+            raise IncompleteMessage("call lost")
         await asyncio.sleep(self._rng.uniform(0.0005, 0.01))
         arrived = asyncio.get_running_loop().time()
         if call.hold and self._rng.random() < self._faults.late:
@@ -121,7 +121,7 @@
             server.release(call)
             await asyncio.sleep(server.work_seconds)
         if self._rng.random() < self._faults.unanswered:
-            raise CutOff("answer lost")
+            raise IncompleteMessage("answer lost")
         if not accepted:
             return KeyResult(outcome=KeyOutcome.FENCED)
         return KeyResult(outcome=KeyOutcome.DONE, handover="" if call.hold else "h")
--- a/guavastream/hosts/tests/rig.py
+++ b/guavastream/hosts/tests/rig.py
@@ -12,7 +12,7 @@
 from guavastream.fleet import ChangeRoutes, Heartbeat
 from guavastream.hosts import FleetSettings
 from guavastream.hosts.server_host import ServerHost
-from guavastream.http1 import Client, CutOff, NotSent
+from guavastream.http1 import Client, IncompleteMessage, NotSent
 from guavastream.relay import Dialect, fingerprint
 from guavastream.routes import RetrySafety, Route, ServiceRules, WeightedService
 
@@ -251,7 +251,7 @@
                         exchange.send(method, target, fields, body[:chunks], remaining)
                     answer = await exchange.answer()
                     await answer.body.read_up_to(1 << 20)
-        except (NotSent, CutOff, TimeoutError):
+        except (NotSent, IncompleteMessage, TimeoutError):
             return 0, {}
         return answer.status, answer.headers
 
--- a/guavastream/http1/__init__.py
+++ b/guavastream/http1/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 without threads: one task a connection over a C parser."""
+"""HTTP/1.1 client and server on asyncio, with one task per server connection."""
 
 from guavastream.http1.client import *
 from guavastream.http1.message import *
--- a/guavastream/http1/client.py
+++ b/guavastream/http1/client.py
@@ -1,4 +1,4 @@
-"""Sending side: pooled connections, one request at a time on each."""
+"""HTTP/1.1 client with a connection pool; no pipelining of requests."""
 
 import asyncio
 from collections import deque
@@ -8,36 +8,37 @@
 from guavastream.http1.flow import FlowProtocol
 from guavastream.http1.message import (
     BodyStream,
-    CutOff,
     Headers,
+    IncompleteMessage,
     format_head,
 )
 from guavastream.kernel import TimeLimit
 
-__all__ = ["Answer", "Client", "Exchange", "NotSent"]
-
-# Bytes of an answer's head beyond which it is taken for none.
-MOST_HEAD = 256 << 10
-# Answers to earlier requests that are skipped on one connection; a server
-# that sends more of them has lost track of it.
-MAX_STRAYS = 3
-# Share of the peer's announced idle time after which a connection is not
-# used: a request that crosses the peer's close may or may not have run.
-IDLE_SHARE = 0.75
+__all__ = ["Response", "Client", "Exchange", "NotSent"]
+
+# Longest head of a response; a connection with a longer one is aborted.
+MAX_HEAD_BYTES = 256 << 10
+# Responses to earlier requests that are skipped before the connection is given up;
+# a server that sends more of them has lost track of the requests on it.
+MAX_STRAY_RESPONSES = 3
+# Share of the peer's idle timeout after which a connection is not reused. If the peer
+# closes the connection while a request is on its way, it is unknown whether the
+# request ran.
+USABLE_IDLE_SHARE = 0.75
 DEFAULT_IDLE_SECONDS = 8.0
-# Idle connections that are kept; each costs some KB and a descriptor.
-MOST_IDLE = 400
-NO_BODY = (204, 304)
-CONTINUE = 100
+# Idle connections in the pool; each takes a few KB and a file descriptor.
+MAX_IDLE_CONNECTIONS = 400
+NO_BODY_STATUSES = (204, 304)
+CONTINUE_STATUS = 100
 
 
 class NotSent(Exception):
-    """No byte of the request has reached the peer.
+    """No connection was made, so no byte of the request has reached the peer.
 
     Parameters
     ----------
     refused : bool
-        Whether the peer's host said that nobody listens there.
+        Whether the peer's host refused the connection because no process listens.
     """
 
     def __init__(self, text, *, refused=False):
@@ -45,75 +46,78 @@
         self.refused = refused
 
 
-class Answer:
-    """One answer: status, headers, and the body as it comes."""
+class Response:
+    """A response: status, header fields, and its body as a stream."""
 
-    __slots__ = ("status", "reason", "headers", "body", "framed")
+    __slots__ = ("status", "reason", "headers", "body", "has_framing")
 
-    def __init__(self, *, status, reason, headers, body, framed):
+    def __init__(self, *, status, reason, headers, body, has_framing):
         self.status = status
         self.reason = reason
         self.headers = headers
         self.body = body
-        # Whether the end of the body is told by length or chunks.
-        self.framed = framed
+        # Whether a length or chunks mark the end of the body, rather than the end of
+        # the connection.
+        self.has_framing = has_framing
 
 
 class _Connection(FlowProtocol):
-    """A connection to a peer; also the callbacks of its parser."""
+    """A connection to a peer, with the callbacks of its transport and parser."""
 
     def __init__(self, *, address, idle_seconds):
         super().__init__()
         self.address = address
         self._parser = httptools.HttpResponseParser(self)
-        self._answers = deque()
-        self._current = None
+        self._responses = deque()
+        self._receiving = None
         self._error = None
         self._reason = b""
         self._headers = Headers()
         self._head_bytes = 0
-        self._heard_bytes = False
-        self._may_go = False
+        self._has_received_bytes = False
+        self._continue_received = False
         self.in_use = False
-        self.clean = True
+        self.reusable = True
         self.idle_since = 0.0
         self.idle_seconds = idle_seconds
 
     @property
     def usable(self):
-        """Whether another request may go out on it."""
-        return self.clean and self._error is None and not self._transport.is_closing()
+        """Whether another request may be sent on the connection."""
+        return (
+            self.reusable and self._error is None and not self._transport.is_closing()
+        )
 
     @property
-    def heard_bytes(self):
-        """Whether any byte of an answer arrived in this use."""
-        return self._heard_bytes
+    def has_received_bytes(self):
+        """Whether any byte arrived since the current request began."""
+        return self._has_received_bytes
 
     def data_received(self, data):
         if not self.in_use:
-            # Bytes that nobody asked for belong to no request.
-            self.clean = False
+            # The data belongs to no request.
+            self.reusable = False
             self.abort()
             return
-        self._heard_bytes = True
+        self._has_received_bytes = True
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.clean = False
-            # What follows a whole answer that ends its connection is no part
-            # of it.
-            self._fail(CutOff("not an answer"))
+            self.reusable = False
+            # The parser also raises for data after a response that closes its
+            # connection; `_fail` leaves that response complete.
+            self._fail(IncompleteMessage("the peer sent an invalid HTTP response"))
 
     def eof_received(self):
-        current = self._current
-        if current is not None and not current.framed:
+        current = self._receiving
+        if current is not None and not current.has_framing:
             current.body.feed_end()
-        self._fail(CutOff("ended"))
+        self._fail(IncompleteMessage("the peer closed the connection"))
         return False
 
     def connection_lost(self, error):
         super().connection_lost(error)
-        self._fail(CutOff(f"lost: {error}"))
+        self._fail(IncompleteMessage(f"the connection was lost: {error}"))
 
     def on_message_begin(self):
         self._reason = b""
@@ -126,116 +130,120 @@
     def on_header(self, name, value):
         self._headers.append((name, value))
         self._head_bytes += len(name) + len(value)
-        if self._head_bytes > MOST_HEAD:
-            self._fail(CutOff("a head without end"))
+        if self._head_bytes > MAX_HEAD_BYTES:
+            self._fail(
+                IncompleteMessage("the head of the response exceeds the size limit")
+            )
             self.abort()
 
     def on_headers_complete(self):
         status = self._parser.get_status_code()
         if status < 200:
-            self._current = None
-            self._may_go = self._may_go or status == CONTINUE
-            self._arrived.set()
+            self._receiving = None
+            self._continue_received = (
+                self._continue_received or status == CONTINUE_STATUS
+            )
+            self._progress.set()
             return
         headers = self._headers
-        framed = (
-            status in NO_BODY
+        has_framing = (
+            status in NO_BODY_STATUSES
             or bool(headers.get(b"content-length"))
             or b"chunked" in headers.get(b"transfer-encoding").lower()
         )
         body = BodyStream(loop=self._loop, pause=self._pause, resume=self._resume)
-        if not framed or not self._parser.should_keep_alive():
-            self.clean = False
-        self._current = Answer(
+        if not has_framing or not self._parser.should_keep_alive():
+            self.reusable = False
+        self._receiving = Response(
             status=status,
             reason=self._reason,
             headers=headers,
             body=body,
-            framed=framed,
+            has_framing=has_framing,
         )
-        self._note_idle(headers.get(b"keep-alive"))
-        self._answers.append(self._current)
-        self._arrived.set()
+        self._read_keep_alive(headers.get(b"keep-alive"))
+        self._responses.append(self._receiving)
+        self._progress.set()
 
     def on_body(self, data):
-        if self._current is not None:
-            self._current.body.feed(data)
+        if self._receiving is not None:
+            self._receiving.body.feed(data)
 
     def on_message_complete(self):
-        if self._current is not None:
-            if self._current.framed:
-                self._current.body.feed_end()
-            self._current = None
+        if self._receiving is not None:
+            if self._receiving.has_framing:
+                self._receiving.body.feed_end()
+            self._receiving = None
 
-    def _note_idle(self, said):
-        for part in said.split(b","):
+    def _read_keep_alive(self, field_value):
+        for part in field_value.split(b","):
             name, _, value = part.strip().partition(b"=")
             if name.lower() == b"timeout" and value.isdigit():
                 self.idle_seconds = float(value)
 
     def begin(self):
-        """Start a use of the connection."""
+        """Reserve the connection for one request."""
         self.in_use = True
-        self._heard_bytes = self._may_go = False
+        self._has_received_bytes = self._continue_received = False
 
-    async def next_answer(self):
-        """Return the next answer on the connection.
+    async def next_response(self):
+        """Return the next response on the connection, once its head is complete.
 
         Raises
         ------
-        CutOff
-            If it ended first.
+        IncompleteMessage
+            If the connection ended first.
         """
-        while not self._answers:
+        while not self._responses:
             if self._error is not None:
                 raise self._error
-            self._arrived.clear()
-            await self._arrived.wait()
-        return self._answers.popleft()
+            self._progress.clear()
+            await self._progress.wait()
+        return self._responses.popleft()
 
-    async def wait_go(self):
-        """Wait until the peer wants the body; False if it answers without.
+    async def wait_for_continue(self):
+        """Wait for "100 Continue"; return False if a final response arrives instead.
 
         Raises
         ------
-        CutOff
+        IncompleteMessage
             If the connection ended first.
         """
-        while not (self._may_go or self._answers):
+        while not (self._continue_received or self._responses):
             if self._error is not None:
                 raise self._error
-            self._arrived.clear()
-            await self._arrived.wait()
-        return self._may_go
+            self._progress.clear()
+            await self._progress.wait()
+        return self._continue_received
 
     def end(self):
-        """End a use; anything left over makes the connection unusable."""
+        """Finish the current request; unread responses make the connection unusable."""
         self.in_use = False
-        if self._answers or self._current is not None:
-            self.clean = False
+        if self._responses or self._receiving is not None:
+            self.reusable = False
         self.idle_since = self._loop.time()
 
     def _fail(self, error):
         if self._error is None:
             self._error = error
-        self.clean = False
-        if self._current is not None:
-            self._current.body.fail(self._error)
-        self._arrived.set()
+        self.reusable = False
+        if self._receiving is not None:
+            self._receiving.body.fail(self._error)
+        self._progress.set()
 
 
 class Exchange:
-    """One request on a connection, from its head to the end of its answer.
+    """One request and its response on a pooled connection.
 
-    Use it as an asynchronous context manager: leaving it gives a clean
-    connection back to the pool and ends any other.
+    Use it as an asynchronous context manager: on exit the connection returns to the
+    pool if it can be reused, and is aborted otherwise.
     """
 
     def __init__(self, *, client, connection, reused):
         self._client = client
         self._connection = connection
         self._sender = None
-        self._answer = None
+        self._response = None
         self.reused = reused
 
     async def __aenter__(self):
@@ -245,27 +253,27 @@
         self.close()
 
     def close(self):
-        """Give the connection back if it is clean, and end it if not."""
+        """Return the connection to the pool if it can be reused, else abort it."""
         if self._sender is not None and not self._sender.done():
             self._sender.cancel()
-            self._connection.clean = False
-        whole = self._answer is not None and self._answer.body.ended
+            self._connection.reusable = False
+        complete = self._response is not None and self._response.body.ended
         self._connection.end()
-        if not whole:
-            self._connection.clean = False
-        self._client.give_back(self._connection)
+        if not complete:
+            self._connection.reusable = False
+        self._client.release(self._connection)
 
     @property
-    def heard_bytes(self):
-        """Whether any byte of an answer arrived."""
-        return self._connection.heard_bytes
+    def has_received_bytes(self):
+        """Whether any byte arrived since the request began."""
+        return self._connection.has_received_bytes
 
     def reset(self):
-        """Reset the connection: what the peer has not read it never will."""
+        """Send a TCP reset, so that the peer loses data that it has not read."""
         self._connection.reset()
 
     def send(self, method, target, headers, body=b"", stream=None):
-        """Send a request; `stream` is what follows `body`, in chunks."""
+        """Send a request; `stream` is the rest of a body that is sent in chunks."""
         connection = self._connection
         fields = list(headers)
         if stream is not None:
@@ -279,16 +287,16 @@
         connection.write(head)
         self._sender = asyncio.ensure_future(self._send_stream(body, stream))
 
-    async def send_when_asked(self, method, target, headers, body, stream=None):
-        """Send the head, and the body once the peer asks for it.
+    async def send_after_continue(self, method, target, headers, body, stream=None):
+        """Send the head, and the body after the peer has sent "100 Continue".
 
-        A peer that refuses the request answers at once, and no byte of the
-        body has gone over the link; the connection ends then, since the peer
-        cannot know that none will follow.
+        A peer that refuses the request responds at once, before any of the body is
+        sent. The connection cannot be reused then, since the peer cannot know that
+        no body will follow.
 
         Raises
         ------
-        CutOff
+        IncompleteMessage
             If the connection ended first.
         """
         connection = self._connection
@@ -297,8 +305,8 @@
             framing = (b"Transfer-Encoding", b"chunked")
         fields = [*headers, framing, (b"Expect", b"100-continue")]
         connection.write(format_head(method + b" " + target + b" HTTP/1.1", fields))
-        if not await connection.wait_go():
-            connection.clean = False
+        if not await connection.wait_for_continue():
+            connection.reusable = False
         elif stream is None:
             connection.write(body)
         else:
@@ -313,49 +321,50 @@
             piece = await stream.read()
         connection.write(b"0\r\n\r\n")
 
-    async def answer(self, is_ours=lambda answer: True):
-        """Return the answer for which `is_ours` holds, skipping strays.
+    async def answer(self, matches=lambda response: True):
+        """Return the response for which `matches` is true, skipping stray ones.
 
         Raises
         ------
-        CutOff
-            If the connection ended first, or brought too many strays.
+        IncompleteMessage
+            If the connection ended first, or sent too many stray responses.
         """
         connection = self._connection
-        for _ in range(MAX_STRAYS + 1):
-            answer = await self._next_or_sender_failure()
-            if is_ours(answer):
-                self._answer = answer
-                return answer
-            # An extra answer to an earlier request; ours comes after it.
-            connection.clean = False
-            while await answer.body.read():
+        for _ in range(MAX_STRAY_RESPONSES + 1):
+            response = await self._next_response_or_send_error()
+            if matches(response):
+                self._response = response
+                return response
+            # An extra response to an earlier request; the expected one follows it.
+            connection.reusable = False
+            while await response.body.read():
                 pass
-        raise CutOff("too many answers to other requests")
+        raise IncompleteMessage("too many responses to other requests")
 
-    async def _next_or_sender_failure(self):
+    async def _next_response_or_send_error(self):
+        """Return the next response; raise if sending the body fails before."""
         sender = self._sender
         if sender is None or sender.done():
-            return await self._connection.next_answer()
-        waiting = asyncio.ensure_future(self._connection.next_answer())
+            return await self._connection.next_response()
+        pending = asyncio.ensure_future(self._connection.next_response())
         try:
-            await asyncio.wait({waiting, sender}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({pending, sender}, return_when=asyncio.FIRST_COMPLETED)
             if sender.done() and not sender.cancelled() and sender.exception():
                 raise sender.exception()
-            return await waiting
+            return await pending
         finally:
-            waiting.cancel()
+            pending.cancel()
 
 
 class Client:
-    """Keeps idle connections by address and opens new ones.
+    """HTTP/1.1 client with a pool of idle connections for each address.
 
     Parameters
     ----------
     connect_seconds : float
-        Longest wait for a new connection.
+        Timeout for opening a connection.
     idle_seconds : float
-        Time for which peers keep idle connections if they do not say so.
+        Assumed idle timeout of peers that announce none.
 
     Examples
     --------
@@ -368,18 +377,18 @@
         self._idle_seconds = idle_seconds
         self._loop = None
         self._idle = {}
-        self._count = 0
-        self.opened = 0
+        self._idle_total = 0
+        self.opened_count = 0
 
     @property
     def idle_count(self):
-        """Number of idle connections."""
-        return self._count
+        """Number of idle connections in the pool."""
+        return self._idle_total
 
-    def count_open(self, address):
-        """Return the number of idle connections that are still open."""
-        waiting = self._idle.get(address, ())
-        return sum(connection.usable for connection in waiting)
+    def count_usable(self, address):
+        """Return the number of usable idle connections to an address."""
+        pooled = self._idle.get(address, ())
+        return sum(connection.usable for connection in pooled)
 
     async def open(self, address, *, fresh=False, idle_seconds=None):
         """Return an `Exchange` on an idle or a new connection.
@@ -389,31 +398,31 @@
         address : str
             IP:PORT.
         fresh : bool
-            Never reuse a connection.
+            Whether to open a new connection even if an idle one is usable.
         idle_seconds : float, optional
-            Do not use one that was idle for longer.
+            Reuse only connections that were idle for less than this time.
 
         Raises
         ------
         NotSent
-            If no connection can be made.
+            If no connection can be opened.
         """
         if self._loop is None:
             self._loop = asyncio.get_running_loop()
-        connection = None if fresh else self._take(address, idle_seconds)
+        connection = None if fresh else self._take_idle(address, idle_seconds)
         reused = connection is not None
         if connection is None:
             connection = await self._connect(address)
         connection.begin()
         return Exchange(client=self, connection=connection, reused=reused)
 
-    def _take(self, address, idle_seconds):
+    def _take_idle(self, address, idle_seconds):
         now = self._loop.time()
-        waiting = self._idle.get(address)
-        while waiting:
-            connection = waiting.pop()
-            self._count -= 1
-            allowed = connection.idle_seconds * IDLE_SHARE
+        pooled = self._idle.get(address)
+        while pooled:
+            connection = pooled.pop()
+            self._idle_total -= 1
+            allowed = connection.idle_seconds * USABLE_IDLE_SHARE
             if idle_seconds is not None:
                 allowed = min(allowed, idle_seconds)
             if connection.usable and now - connection.idle_since < allowed:
@@ -436,37 +445,37 @@
         except (OSError, TimeoutError) as error:
             refused = isinstance(error, ConnectionRefusedError)
             raise NotSent(f"{address}: {error!r}", refused=refused) from error
-        self.opened += 1
+        self.opened_count += 1
         return connection
 
-    def give_back(self, connection):
-        """Keep a connection that is clean, and end any other."""
+    def release(self, connection):
+        """Add a connection to the pool if it is usable, and abort it otherwise."""
         if not connection.usable:
             connection.abort()
             return
-        # The address that was used last stands last.
-        waiting = self._idle.pop(connection.address, [])
-        waiting.append(connection)
-        self._idle[connection.address] = waiting
-        self._count += 1
-        if self._count > MOST_IDLE:
+        # Addresses are kept in the order of their last use.
+        pooled = self._idle.pop(connection.address, [])
+        pooled.append(connection)
+        self._idle[connection.address] = pooled
+        self._idle_total += 1
+        if self._idle_total > MAX_IDLE_CONNECTIONS:
             address = next(iter(self._idle))
             self._drop_oldest(address)
 
     def _drop_oldest(self, address):
-        waiting = self._idle[address]
-        waiting.pop(0).abort()
-        self._count -= 1
-        if not waiting:
+        pooled = self._idle[address]
+        pooled.pop(0).abort()
+        self._idle_total -= 1
+        if not pooled:
             del self._idle[address]
 
-    def forget(self, address):
-        """End the idle connections to an address."""
+    def close_idle(self, address):
+        """Close the idle connections to an address."""
         for connection in self._idle.pop(address, ()):
-            self._count -= 1
+            self._idle_total -= 1
             connection.abort()
 
     def close(self):
-        """End all idle connections."""
+        """Close all idle connections."""
         for address in list(self._idle):
-            self.forget(address)
+            self.close_idle(address)
--- a/guavastream/http1/connection.py
+++ b/guavastream/http1/connection.py
@@ -1,4 +1,4 @@
-"""A caller's connection: a task reads its requests one by one and sees to answers."""
+"""Server side of a connection, whose requests are handled one after another."""
 
 import asyncio
 import contextlib
@@ -10,32 +10,32 @@
 from guavastream.http1.message import (
     REASONS,
     BodyStream,
-    CutOff,
     Headers,
+    IncompleteMessage,
     format_head,
 )
-from guavastream.http1.responder import Cut, Request, Responder
+from guavastream.http1.responder import AbortedRequest, Request, Responder
 from guavastream.kernel import TimeLimit, part_logger
 
 __all__ = ["ServerConnection"]
 
 log = part_logger("http")
 
-# Requests that a caller may send ahead on one connection before reading stops.
-MAX_AHEAD = 4
-# Time for the loop to read what has come already.
-UNREAD_SECONDS = 0.01
-# Time after its last answer in which a connection reads what its caller still sends.
+# Pipelined requests on a connection beyond which reading from it pauses.
+MAX_PIPELINED_REQUESTS = 4
+# Wait for the event loop to read data that is in the receive buffer already.
+UNREAD_WAIT_SECONDS = 0.01
+# Time for which a connection still reads after its last response, before it closes.
 LINGER_SECONDS = 2.0
-# Share of the idle limit that callers are told; the rest is for the way, and for a
-# host that stands still.
-COUNTED_SHARE = 0.8
-# Fields that a request has once at most.
-ONCE = (b"host", b"content-length", b"transfer-encoding")
+# Share of the idle limit that is announced to callers; the rest allows for network
+# latency and for pauses of the host.
+ANNOUNCED_IDLE_SHARE = 0.8
+# Fields that may occur only once in a request.
+SINGLE_FIELDS = (b"host", b"content-length", b"transfer-encoding")
 
 
 class ServerConnection(FlowProtocol):
-    """One caller's connection; also the callbacks of its parser."""
+    """One caller's connection, with the callbacks of its transport and parser."""
 
     def __init__(self, *, server):
         super().__init__()
@@ -45,42 +45,43 @@
         self._task = None
         self._responder = None
         self._lost = False
-        self._leaves = self._lingers = False
-        self._end_of_linger = None
-        self._refusal = 0
-        self._current = None
+        self._closing_when_idle = self._lingering = False
+        self._linger_timer = None
+        self._rejection_status = 0
+        self._receiving = None
         self._target = b""
         self._headers = Headers()
         self._head_bytes = 0
         self._body_bytes = 0
-        self._head_since = None
-        self._idle_since = self._idle_allowed = 0.0
+        self._head_started_at = None
+        self._idle_started_at = self._idle_limit_at_start = 0.0
         self._in_head = True
         self.busy = False
 
-    # What the loop calls
+    # Callbacks of the transport
 
     def connection_made(self, transport):
         super().connection_made(transport)
-        self._server.opened(self)
+        self._server.connection_opened(self)
         self._task = self._loop.create_task(self._run())
 
     def data_received(self, data):
-        if self._refusal or self._lingers:
+        if self._rejection_status or self._lingering:
             return
         if self._in_head:
             self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._refuse(400)
+            self._reject(400)
         except httptools.HttpParserError:
-            self._refuse(400)
+            self._reject(400)
         if self._in_head and self._head_bytes > self._server.limits.head_bytes:
-            self._refuse(431)
-        if self._head_since is not None:
-            # Its limit counts from now on, not that of an idle connection.
-            self._arrived.set()
+            self._reject(431)
+        if self._head_started_at is not None:
+            # Wakes the task, which applies the time limit of the head from now on
+            # instead of the idle limit.
+            self._progress.set()
 
     def eof_received(self):
         return False
@@ -88,20 +89,20 @@
     def connection_lost(self, error):
         super().connection_lost(error)
         self._lost = True
-        if self._end_of_linger is not None:
-            self._end_of_linger.cancel()
-        self._fail_bodies()
-        self._server.closed(self)
+        if self._linger_timer is not None:
+            self._linger_timer.cancel()
+        self._fail_incomplete_bodies()
+        self._server.connection_closed(self)
         if self._task is not None:
             self._task.cancel()
 
-    # What the parser calls
+    # Callbacks of the parser
 
     def on_message_begin(self):
         self._target = b""
         self._headers = Headers()
         self._in_head = True
-        self._head_since = self._loop.time()
+        self._head_started_at = self._loop.time()
 
     def on_url(self, url):
         self._target += url
@@ -116,21 +117,21 @@
         headers = self._headers
         length_text = headers.get(b"content-length")
         coding = headers.get(b"transfer-encoding")
-        # Two readings of where a body ends are how one request is smuggled
-        # inside another (RFC 9112, 6.3), two hosts how it passes as one for
-        # another service; neither reading is taken.
-        if (length_text and coding) or _repeats(headers):
-            self._refuse(400)
+        # If the end of the body is ambiguous, another request can be smuggled in
+        # the body (RFC 9112, 6.3). If there are two Host fields, a request can
+        # pass as one for another service. Both are rejected.
+        if (length_text and coding) or _has_repeated_single_field(headers):
+            self._reject(400)
         if coding and coding != b"chunked":
-            self._refuse(400)
+            self._reject(400)
         length = int(length_text) if length_text.isdigit() else 0
         if length > self._server.limits.body_bytes:
-            self._refuse(413)
+            self._reject(413)
         size = len(self._target) + sum([len(k) + len(v) + 4 for k, v in headers])
         if size > self._server.limits.head_bytes:
-            self._refuse(431)
+            self._reject(431)
         body = BodyStream(loop=self._loop, pause=self._pause, resume=self._resume)
-        self._current = Request(
+        self._receiving = Request(
             method=self._parser.get_method(),
             target=self._target,
             headers=headers,
@@ -138,235 +139,258 @@
             keep_alive=self._parser.should_keep_alive(),
             length=-1 if coding else length,
         )
-        self._head_since = None
-        if self._refusal:
+        self._head_started_at = None
+        if self._rejection_status:
             return
-        self._current.awaits_go = headers.get(b"expect").lower() == b"100-continue"
-        if self._current.awaits_go and not self._server.holds_bodies:
-            self.go_ahead(self._current)
-        self._requests.append(self._current)
-        if len(self._requests) > MAX_AHEAD:
+        self._receiving.expects_continue = (
+            headers.get(b"expect").lower() == b"100-continue"
+        )
+        if self._receiving.expects_continue and not self._server.delays_continue:
+            self.send_continue(self._receiving)
+        self._requests.append(self._receiving)
+        if len(self._requests) > MAX_PIPELINED_REQUESTS:
             self._pause()
-        self._arrived.set()
+        self._progress.set()
 
     def on_body(self, data):
         self._body_bytes += len(data)
         if self._body_bytes > self._server.limits.body_bytes:
-            self._refuse(413)
-            self._current.body.fail(CutOff("body too large"))
+            self._reject(413)
+            self._receiving.body.fail(
+                IncompleteMessage("the request body exceeds the size limit")
+            )
             return
-        self._current.body.feed(data)
+        self._receiving.body.feed(data)
 
     def on_message_complete(self):
         self._in_head = True
         self._head_bytes = 0
-        if self._current is not None:
-            self._current.body.feed_end()
+        if self._receiving is not None:
+            self._receiving.body.feed_end()
 
-    # The task
+    # The task that handles the requests
 
     async def _run(self):
-        why = "ended"
+        cause = "ended"
         try:
-            while await self._next():
+            while await self._wait_for_request():
                 request = self._requests.popleft()
                 self._resume()
                 if not await self._serve(request):
                     break
             else:
-                if not self._refusal:
-                    # For a request that crosses the end; it will not be handled.
-                    self.write(self._server.farewell)
+                if not self._rejection_status:
+                    # Answers a request that is sent while the connection closes
+                    # and is therefore not handled.
+                    self.write(self._server.closing_response)
         except asyncio.CancelledError:
-            why = "cancelled"
+            cause = "cancelled"
         except Exception:
-            log.exception("A connection failed.")
-            self.cut("error")
+            log.exception("The task of a caller's connection failed.")
+            self.abort_requests("error")
         finally:
             self._task = None
-            self._note_cuts(why)
+            self._report_aborted(cause)
             self._linger()
 
     def _linger(self):
-        """Say that nothing follows, and read on for a while before closing.
+        """Close the sending direction, and keep reading for a while before closing.
 
-        Closed with bytes unread, or still to come, the connection is reset, and the
-        reset overtakes the answer (RFC 9112, 9.6).
+        If a connection is closed while data is unread or still arrives, a reset is
+        sent, which can reach the caller before the response does (RFC 9112, 9.6).
         """
         if self._transport is None or self._transport.is_closing():
             return
-        self._lingers = True
+        self._lingering = True
         self._resume()
         self._transport.write_eof()
-        self._server.lingers(self)
-        self._end_of_linger = self._loop.call_later(
+        self._server.connection_lingering(self)
+        self._linger_timer = self._loop.call_later(
             LINGER_SECONDS, self._transport.close
         )
 
-    async def _next(self):
-        """Wait for a request; return False when the connection is to end."""
-        self._idle_since = self._loop.time()
-        self._idle_allowed = self._server.limits.idle_seconds
+    async def _wait_for_request(self):
+        """Wait for a request; return False if the connection should be closed."""
+        self._idle_started_at = self._loop.time()
+        self._idle_limit_at_start = self._server.limits.idle_seconds
         while not self._requests:
-            if self._refusal:
-                await self._end_refused()
+            if self._rejection_status:
+                await self._send_rejection()
                 return False
-            ends_idle = self._leaves or self._server.ends_idle
-            if not ends_idle or self._head_since is not None:
-                until = self._patient_until()
-                if await self._arrives(until) or self._patient_until() > until:
+            closing_idle = self._closing_when_idle or self._server.closing_idle
+            if not closing_idle or self._head_started_at is not None:
+                until = self._read_deadline()
+                if await self._data_arrives(until) or self._read_deadline() > until:
                     continue
-            if self._head_since is not None:
-                self._refusal = 408
-            elif not await self._has_more():
+            if self._head_started_at is not None:
+                self._rejection_status = 408
+            elif not await self._unread_data_arrives():
                 return False
         return True
 
-    async def _has_more(self):
-        """Whether something has come that the loop has not read yet."""
+    async def _unread_data_arrives(self):
+        """Read data from the receive buffer, if any; return whether some arrived."""
         if not self.has_unread():
             return False
-        return await self._arrives(self._loop.time() + UNREAD_SECONDS)
+        return await self._data_arrives(self._loop.time() + UNREAD_WAIT_SECONDS)
 
-    async def _arrives(self, until):
-        """Wait until something arrives; return False if nothing did in time."""
-        self._arrived.clear()
-        return await self._arrived.wait_until(until)
+    async def _data_arrives(self, until):
+        """Wait until data arrives or the task is woken; return False after `until`."""
+        self._progress.clear()
+        return await self._progress.wait_until(until)
 
-    def _patient_until(self):
-        """Return the time at which the caller has taken too long."""
+    def _read_deadline(self):
+        """Return the time by which the caller must have completed or begun a head."""
         limits = self._server.limits
-        if self._head_since is not None:
-            return self._head_since + limits.head_seconds
-        # A caller knows the limit of its last answer, or the newest one.
-        return self._idle_since + max(self._idle_allowed, limits.idle_seconds)
+        if self._head_started_at is not None:
+            return self._head_started_at + limits.head_seconds
+        # The caller may rely on the limit announced in its last response or on the
+        # current one, so the longer of them applies.
+        return self._idle_started_at + max(
+            self._idle_limit_at_start, limits.idle_seconds
+        )
 
     async def _serve(self, request):
         self.busy = True
-        self._server.used(self)
+        self._server.connection_used(self)
         responder = self._responder = Responder(connection=self, request=request)
         try:
             await self._server.handler(request, responder)
-        except CutOff:
-            # The request did not come whole.
-            if not responder.started and self._refusal:
+        except IncompleteMessage:
+            # The request was not received completely.
+            if not responder.started and self._rejection_status:
                 self._responder = None
-                await self._end_refused()
+                await self._send_rejection()
                 return False
         except Exception:
-            log.exception("A request failed.")
+            log.exception("The handler of a request failed.")
             if not responder.started:
                 await responder.send(500)
         finally:
             self.busy = False
-        if not responder.whole:
-            self.cut("request_cut" if not request.body.ended else "unanswered")
+        if not responder.complete:
+            self.abort_requests(
+                "request_cut" if not request.body.ended else "unanswered"
+            )
             return False
         with contextlib.suppress(TimeoutError):
             with TimeLimit.within(self._server.limits.idle_seconds, loop=self._loop):
                 await self.drain()
                 return not responder.closes
-        # The caller does not read.
+        # The caller did not read the response in time.
         self.abort()
         return False
 
-    async def _end_refused(self):
-        self._server.note_refused(self._refusal)
-        line = b"HTTP/1.1 %d %s" % (self._refusal, REASONS[self._refusal])
+    async def _send_rejection(self):
+        self._server.note_refused(self._rejection_status)
+        line = b"HTTP/1.1 %d %s" % (
+            self._rejection_status,
+            REASONS[self._rejection_status],
+        )
         fields = [(b"Content-Length", b"0"), (b"Connection", b"close")]
         self.write(format_head(line, fields))
         await self.drain()
 
-    # What the responder uses
+    # Used by the responder and the server
 
-    def go_ahead(self, request):
-        """Let the peer send the body that it asked for."""
-        if request.awaits_go:
-            request.awaits_go = False
+    def send_continue(self, request):
+        """Send "100 Continue" if the caller waits for it before sending the body."""
+        if request.expects_continue:
+            request.expects_continue = False
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def closes_after(self, request):
-        """Whether the connection ends after the answer to `request`."""
+        """Whether the connection closes after the response to `request`."""
         if not request.keep_alive or not request.body.ended:
-            # The rest of a body must not be read as the next request.
+            # The rest of the body must not be parsed as the next request.
             return True
-        # What was sent ahead is answered too, and a refusal closes with its own answer.
-        return self._server.closing and not self._requests and not self._refusal
+        # Pipelined requests are still handled, and a rejection has a response of its
+        # own that closes the connection.
+        return (
+            self._server.closing and not self._requests and not self._rejection_status
+        )
 
     @property
-    def keep_seconds(self):
-        """Whole seconds for which callers may count on the connection, 0 if none."""
-        if not self._server.tells_idle:
+    def announced_idle_seconds(self):
+        """Idle time announced to callers in whole seconds, 0 for no announcement."""
+        if not self._server.announces_idle_timeout:
             return 0
-        return int(self._server.limits.idle_seconds * COUNTED_SHARE)
+        return int(self._server.limits.idle_seconds * ANNOUNCED_IDLE_SHARE)
 
     @property
     def idle(self):
-        """Whether nothing of a request has come that is not answered."""
-        return not self.busy and not self._requests and self._head_since is None
+        """Whether no request is in progress, queued or partly received."""
+        return not self.busy and not self._requests and self._head_started_at is None
 
-    def end(self):
-        """End the connection, with a reset if a request is in progress."""
-        self._note_cuts("stopped")
+    def close(self):
+        """Close the connection, with a reset if a request is in progress."""
+        self._report_aborted("stopped")
         if self.busy:
             self.abort()
         elif self._transport is not None:
             self._transport.close()
 
-    def cut(self, why):
-        """Reset the connection under its requests."""
-        self._note_cuts(why)
+    def abort_requests(self, cause):
+        """Reset the connection and report its unfinished requests as aborted."""
+        self._report_aborted(cause)
         self.abort()
 
-    def leave(self):
-        """End the connection as soon as it is idle."""
-        self._leaves = True
-        self.wake()
+    def close_when_idle(self):
+        """Close the connection as soon as it is idle."""
+        self._closing_when_idle = True
+        self.recheck_closing()
 
-    def wake(self):
-        """Look again whether the server is closing."""
-        self._arrived.set()
+    def recheck_closing(self):
+        """Wake the task, so that it checks whether the connection should close."""
+        self._progress.set()
 
-    def _note_cuts(self, why):
-        """Tell of the requests that this connection leaves without a whole answer."""
+    def _report_aborted(self, cause):
+        """Report the requests left without a complete response."""
         responder, self._responder = self._responder, None
         waiting = list(self._requests)
         self._requests.clear()
         if self._lost:
-            # The caller has ended it.
+            # The caller ended the connection, so this server aborted nothing.
             return
-        if responder is not None and not responder.whole:
-            answered = "part" if responder.started else "none"
-            self._note_cut(responder.request, why, begun=True, answered=answered)
+        if responder is not None and not responder.complete:
+            response_sent = "part" if responder.started else "none"
+            self._report_aborted_request(
+                responder.request,
+                cause,
+                handler_called=True,
+                response_sent=response_sent,
+            )
         for request in waiting:
-            self._note_cut(request, why, begun=False, answered="none")
+            self._report_aborted_request(
+                request, cause, handler_called=False, response_sent="none"
+            )
 
-    def _note_cut(self, request, why, *, begun, answered):
-        cut = Cut(
+    def _report_aborted_request(self, request, cause, *, handler_called, response_sent):
+        aborted = AbortedRequest(
             request=request,
-            why=why,
-            begun=begun,
-            whole=request.body.ended,
-            answered=answered,
+            cause=cause,
+            handler_called=handler_called,
+            request_complete=request.body.ended,
+            response_sent=response_sent,
         )
-        self._server.note_cut(cut)
+        self._server.note_aborted(aborted)
 
-    def _refuse(self, status):
-        self._refusal = self._refusal or status
-        self._fail_bodies()
-        self._arrived.set()
+    def _reject(self, status):
+        self._rejection_status = self._rejection_status or status
+        self._fail_incomplete_bodies()
+        self._progress.set()
 
-    def _fail_bodies(self):
-        error = CutOff("the caller's connection ended")
-        if self._current is not None:
-            self._current.body.fail(error)
+    def _fail_incomplete_bodies(self):
+        error = IncompleteMessage("the caller's connection ended")
+        if self._receiving is not None:
+            self._receiving.body.fail(error)
         for request in self._requests:
             request.body.fail(error)
 
 
-def _repeats(headers):
-    """Whether a field that a request has once at most stands there again."""
-    if len(headers.index) == len(headers):
+def _has_repeated_single_field(headers):
+    """Whether a field that may occur only once is repeated."""
+    if len(headers.first_values) == len(headers):
         return False
     names = [name.lower() for name, _ in headers]
-    return any(names.count(name) > 1 for name in ONCE)
+    return any(names.count(name) > 1 for name in SINGLE_FIELDS)
--- a/guavastream/http1/flow.py
+++ b/guavastream/http1/flow.py
@@ -1,4 +1,4 @@
-"""What both ends of a connection share: writing, and waiting while it is full."""
+"""Base protocol of client and server connections: writing with back-pressure."""
 
 import asyncio
 import contextlib
@@ -12,27 +12,27 @@
 
 __all__ = ["FlowProtocol"]
 
-# Most bytes that are read at a time.
+# Largest number of bytes per read from a socket.
 READ_BYTES = 64 << 10
-# On, for no time: closing ends the connection with a reset.
-LINGER_NONE = struct.pack("ii", 1, 0)
+# SO_LINGER enabled with a timeout of 0: closing the socket sends a reset.
+LINGER_RESET = struct.pack("ii", 1, 0)
 _INT = struct.Struct("i")
 
 
 class FlowProtocol(asyncio.Protocol):
-    """A connection that bytes are written to, with back-pressure both ways."""
+    """A connection with back-pressure for both reading and writing."""
 
     def __init__(self):
         self._loop = asyncio.get_running_loop()
         self._transport = None
-        self._arrived = Signal(loop=self._loop)
+        self._progress = Signal(loop=self._loop)
         self._writable = Signal(loop=self._loop)
         self._writable.set()
 
     def connection_made(self, transport):
         self._transport = transport
-        # By default the loop takes 256 KB anew for each read, which the
-        # system maps and unmaps each time.
+        # By default the event loop allocates a 256 KB buffer for each read, and the
+        # operating system maps and unmaps that memory every time.
         transport.max_size = READ_BYTES
         tune_socket(transport)
 
@@ -46,12 +46,12 @@
         self._writable.set()
 
     def write(self, data):
-        """Queue bytes to the peer."""
+        """Queue bytes for sending, unless the connection is closing."""
         if not self._transport.is_closing():
             self._transport.write(data)
 
     def has_unread(self):
-        """Whether bytes of the peer have come that were not read yet."""
+        """Whether the socket's receive buffer holds data that was not read yet."""
         sock = self._transport.get_extra_info("socket")
         if sock is None or sock.fileno() < 0:
             return False
@@ -59,20 +59,21 @@
         return _INT.unpack(unread)[0] > 0
 
     async def drain(self):
-        """Wait while the peer does not read."""
+        """Wait until the write buffer has room again."""
         await self._writable.wait()
 
     def abort(self):
-        """Reset the connection."""
+        """Close the connection at once and discard data that was not sent."""
         if self._transport is not None:
             self._transport.abort()
 
     def reset(self):
-        """Reset the connection, and take back what the peer has not read."""
+        """Send a TCP reset, so that the peer loses data that it has not read."""
         sock = self._transport.get_extra_info("socket")
         with contextlib.suppress(OSError):
-            # Without it the peer's system keeps what has arrived for it.
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
+            # Without SO_LINGER the peer's operating system would still deliver the
+            # data that it has received.
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.abort()
 
     def _pause(self):
--- a/guavastream/http1/message.py
+++ b/guavastream/http1/message.py
@@ -1,4 +1,4 @@
-"""Heads, bodies and failures of HTTP/1.1 messages."""
+"""Header fields, streamed bodies and errors of HTTP/1.1 messages."""
 
 import functools
 from collections import deque
@@ -8,14 +8,15 @@
 __all__ = [
     "HOP_BY_HOP",
     "BodyStream",
-    "CutOff",
+    "IncompleteMessage",
     "Headers",
     "REASONS",
     "format_head",
     "tune_socket",
 ]
 
-# Headers that concern one connection only (RFC 9110, 7.6.1).
+# Header fields that apply to a single connection and are not forwarded
+# (RFC 9110, 7.6.1).
 HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -50,29 +51,30 @@
 
 
 @functools.cache
-def _gone(dropped):
-    """Return the names that never travel on, and those in `dropped`."""
+def _excluded_names(dropped):
+    """Return the hop-by-hop field names and those in `dropped`."""
     return HOP_BY_HOP | dropped
 
 
-# Bytes of a body that are held before the sender is made to wait; about the
-# window of one connection.
-HIGH_WATER = 256 << 10
+# Buffered body bytes above which reading from the sender pauses; about the
+# receive window of one connection.
+BUFFER_HIGH_WATER_BYTES = 256 << 10
 
-# A path that forgets a connection shows only by missing acknowledgements:
-# unacknowledged data ends the connection after this time, idle ones are
-# probed each second. Long enough for the resends of a lossy link.
+# If a network device drops the state of a connection, the only sign is missing
+# acknowledgements. A connection is closed when data stays unacknowledged for
+# USER_TIMEOUT_MS, which is long enough for retransmissions on a lossy link. Idle
+# connections are probed every second.
 USER_TIMEOUT_MS = 1500
 KEEPALIVE_SECONDS = 1
 KEEPALIVE_PROBES = 2
 
 
-class CutOff(Exception):
-    """A connection ended, or spoke nonsense, before a message was whole."""
+class IncompleteMessage(Exception):
+    """The connection ended, or its data was invalid, before a message was complete."""
 
 
 class Headers(list):
-    """Header fields as pairs of bytes, in their order.
+    """Header fields as pairs of name and value in bytes, in the order received.
 
     Examples
     --------
@@ -80,111 +82,115 @@
     b'a'
     """
 
-    # Each message is asked for a dozen names; going through its fields each
-    # time took a tenth of a hop's processor time.
-    _index = None
-    _indexed = -1
+    # A dozen fields are looked up per message. Scanning the list for each lookup
+    # took a tenth of the CPU time of a hop, so lookups use a cached dict.
+    _first_values = None
+    _index_length = -1
 
     @property
-    def index(self):
-        """First value of each field by its name in lower case, a dict."""
-        if self._indexed != len(self):
-            self._index = {key.lower(): value for key, value in reversed(self)}
-            self._indexed = len(self)
-        return self._index
+    def first_values(self):
+        """Dict of each lowercase field name to the first value of that field."""
+        if self._index_length != len(self):
+            self._first_values = {key.lower(): value for key, value in reversed(self)}
+            self._index_length = len(self)
+        return self._first_values
 
     def get(self, name, default=b""):
-        """Return the first value of a field; `name` is in lower case."""
-        if self._indexed == len(self):
-            return self._index.get(name, default)
-        return self.index.get(name, default)
+        """Return the first value of a field; `name` must be in lower case."""
+        if self._index_length == len(self):
+            return self._first_values.get(name, default)
+        return self.first_values.get(name, default)
 
     def end_to_end(self, dropped=frozenset()):
-        """Return the fields that travel on, without those in `dropped`.
+        """Return the end-to-end fields, without those in `dropped`.
 
         Parameters
         ----------
         dropped : set of bytes
-            Further names in lower case.
+            Additional field names to leave out, in lower case.
         """
-        gone = _gone(dropped)
+        excluded = _excluded_names(dropped)
         connection = self.get(b"connection")
         if connection:
-            gone |= {part.strip().lower() for part in connection.split(b",")}
-        return Headers([field for field in self if field[0].lower() not in gone])
+            excluded |= {part.strip().lower() for part in connection.split(b",")}
+        return Headers([field for field in self if field[0].lower() not in excluded])
 
 
 class BodyStream:
-    """Pieces of a body as they arrive, with back-pressure on the sender.
+    """A body that is read while it arrives, with back-pressure on the sender.
 
     Parameters
     ----------
     loop : asyncio.AbstractEventLoop
         The running loop.
     pause, resume : callable
-        Stop and restart reading from the connection.
+        Pause and resume reading from the connection.
     """
 
     def __init__(self, *, loop, pause, resume):
         self._pause = pause
         self._resume = resume
         self._pieces = deque()
-        self._held = 0
+        self._buffered_bytes = 0
         self._paused = False
         self._ended = False
         self._error = None
-        self._arrived = Signal(loop=loop)
+        self._progress = Signal(loop=loop)
 
     @property
     def ended(self):
-        """Whether the last piece has arrived."""
+        """Whether the complete body has been received."""
         return self._ended
 
     def feed(self, data):
-        """Take a piece from the connection."""
+        """Buffer data received from the connection, and pause reading if needed."""
         self._pieces.append(data)
-        self._held += len(data)
-        if self._held > HIGH_WATER and not self._paused:
+        self._buffered_bytes += len(data)
+        if self._buffered_bytes > BUFFER_HIGH_WATER_BYTES and not self._paused:
             self._paused = True
             self._pause()
-        self._arrived.set()
+        self._progress.set()
 
     def feed_end(self):
-        """Note that the body is whole, unless a part of it was lost."""
+        """Mark the body as complete, unless it has failed already."""
         if self._error is None:
             self._ended = True
-            self._arrived.set()
+            self._progress.set()
 
     def fail(self, error):
-        """Note that the body will never be whole."""
+        """Mark the body as incomplete: `read` raises `error` after buffered data."""
         if not self._ended and self._error is None:
             self._error = error
-            self._arrived.set()
+            self._progress.set()
 
     async def read(self):
-        """Return the next piece, or empty bytes after the last.
+        """Return the next piece of the body, or empty bytes at its end.
 
         Raises
         ------
-        CutOff
-            If the connection ended before the body was whole.
+        IncompleteMessage
+            If the connection ended before the body was complete.
         """
         while not self._pieces:
             if self._ended:
                 return b""
             if self._error is not None:
                 raise self._error
-            self._arrived.clear()
-            await self._arrived.wait()
+            self._progress.clear()
+            await self._progress.wait()
         data = self._pieces.popleft()
-        self._held -= len(data)
-        if self._paused and self._held <= HIGH_WATER // 2:
+        self._buffered_bytes -= len(data)
+        if self._paused and self._buffered_bytes <= BUFFER_HIGH_WATER_BYTES // 2:
             self._paused = False
             self._resume()
         return data
 
     async def read_up_to(self, limit):
-        """Return the pieces read so far, as bytes, and whether that is all."""
+        """Return the data read and whether it is the complete body.
+
+        Reading stops at the end of the body or once more than `limit` bytes were
+        read.
+        """
         parts, size = [], 0
         while size <= limit:
             piece = await self.read()
@@ -196,7 +202,7 @@
 
 
 def format_head(first_line, headers):
-    """Return the bytes of a head.
+    """Return the encoded start line and header fields, with the final empty line.
 
     Examples
     --------
@@ -209,7 +215,7 @@
 
 
 def tune_socket(transport):
-    """Send at once, and notice a path that has gone silent."""
+    """Disable Nagle's algorithm and detect connections whose peer is unreachable."""
     import socket
 
     sock = transport.get_extra_info("socket")
@@ -227,5 +233,5 @@
         try:
             sock.setsockopt(level, option, value)
         except OSError:
-            # Not every kind of socket knows every option; the others count.
+            # Some socket types lack some of these options; the others still apply.
             continue
--- a/guavastream/http1/responder.py
+++ b/guavastream/http1/responder.py
@@ -1,37 +1,37 @@
-"""One request on a connection, and the writing of its answer."""
+"""Server side of one request: its head, its body and its response."""
 
 from dataclasses import dataclass
 
 from guavastream.http1.message import REASONS, format_head
 
-__all__ = ["Cut", "Request", "Responder"]
+__all__ = ["AbortedRequest", "Request", "Responder"]
 
 
 @dataclass(frozen=True, kw_only=True)
-class Cut:
-    """A connection that was ended here under a request without a whole answer.
+class AbortedRequest:
+    """A request without a complete response whose connection this server ended.
 
-    `why` is what ended it, `begun` whether its handler had been called, `whole`
-    whether all of the request had come, `answered` how much of the answer had been
-    written: none or part.
+    `cause` is what ended the connection, `handler_called` whether the handler had
+    been called, `request_complete` whether the whole request had been received, and
+    `response_sent` how much of the response had been written: "none" or "part".
     """
 
     request: object
-    why: str
-    begun: bool
-    whole: bool
-    answered: str
+    cause: str
+    handler_called: bool
+    request_complete: bool
+    response_sent: str
 
 
 class Request:
-    """One request: its head, and its body as it comes.
+    """A request: its head, and its body as a stream.
 
-    `target` is the path with its query, byte for byte as it was sent.
+    `target` is the path with its query, in the exact bytes received.
     """
 
     __slots__ = (
-        "awaits_go",
         "body",
+        "expects_continue",
         "headers",
         "keep_alive",
         "length",
@@ -45,62 +45,63 @@
         self.headers = headers
         self.body = body
         self.keep_alive = keep_alive
-        # Bytes of the body as declared, -1 if it comes in chunks.
+        # Declared length of the body in bytes, -1 if the body is chunked.
         self.length = length
-        # Whether the body comes only after an interim answer (RFC 9110, 10.1.1).
-        self.awaits_go = False
+        # Whether the client waits for "100 Continue" before it sends the body
+        # (RFC 9110, 10.1.1).
+        self.expects_continue = False
 
     @property
     def path(self):
-        """Path without the query, bytes."""
+        """Path without the query, as bytes."""
         return self.target.partition(b"?")[0]
 
 
 class Responder:
-    """Writes the one answer of a request.
+    """Writes the response to one request.
 
     Parameters
     ----------
     connection : ServerConnection
-        Where it goes.
+        Connection on which the response is sent.
     request : Request
-        What it answers.
+        The request to respond to.
     """
 
     def __init__(self, *, connection, request):
         self._connection = connection
         self._request = request
         self._chunked = False
-        self._left = 0
+        self._unsent_bytes = 0
         self.started = False
-        # Whether the answer says that its connection ends.
+        # Whether the response carries `Connection: close`.
         self.closes = False
-        self._ended = False
+        self._finished = False
         self.status = 0
 
     @property
-    def whole(self):
-        """Whether all of the answer was written."""
+    def complete(self):
+        """Whether the whole response was written."""
         if self._chunked:
-            return self._ended
-        return self.started and self._left == 0
+            return self._finished
+        return self.started and self._unsent_bytes == 0
 
     @property
     def request(self):
-        """What it answers."""
+        """The request to respond to."""
         return self._request
 
-    def go_ahead(self):
-        """Ask for the body, if the peer holds it back until then."""
-        self._connection.go_ahead(self._request)
+    def send_continue(self):
+        """Send "100 Continue" if the client waits for it before sending the body."""
+        self._connection.send_continue(self._request)
 
     async def send(self, status, headers=(), body=b"", *, reason=b""):
-        """Send a whole answer; the connection sees to it that it goes out."""
+        """Write a whole response; the connection waits for its buffer to drain."""
         self._begin(status, headers, length=len(body), reason=reason, first=body)
         self.finish()
 
     async def start(self, status, headers, *, length=None, reason=b"", first=b""):
-        """Send the head; without `length` the body goes in chunks."""
+        """Send the head and `first`; without `length` the body is sent in chunks."""
         self._begin(status, headers, length=length, reason=reason, first=first)
         await self._connection.drain()
 
@@ -118,10 +119,10 @@
         self.closes = connection.closes_after(self._request)
         if self.closes:
             fields.append((b"Connection", b"close"))
-        elif connection.keep_seconds:
-            value = b"timeout=%d" % connection.keep_seconds
+        elif connection.announced_idle_seconds:
+            value = b"timeout=%d" % connection.announced_idle_seconds
             fields.append((b"Keep-Alive", value))
-        self._left = (length or 0) - len(first)
+        self._unsent_bytes = (length or 0) - len(first)
         line = b"HTTP/1.1 %d %s" % (status, reason)
         connection.write(format_head(line, fields) + first)
 
@@ -129,18 +130,18 @@
         """Send a piece of the body."""
         if not data:
             return
-        self._left -= len(data)
+        self._unsent_bytes -= len(data)
         if self._chunked:
             data = b"%x\r\n%s\r\n" % (len(data), data)
         self._connection.write(data)
         await self._connection.drain()
 
     def finish(self):
-        """Note that all of the body was written."""
+        """Mark the response as complete, and end a chunked body."""
         if self._chunked:
             self._connection.write(b"0\r\n\r\n")
-        self._ended = True
+        self._finished = True
 
-    def abort(self, why="handler"):
-        """Reset the connection: what was begun must not look whole."""
-        self._connection.cut(why)
+    def abort(self, cause="handler"):
+        """Reset the connection, so that a partial response does not look complete."""
+        self._connection.abort_requests(cause)
--- a/guavastream/http1/server.py
+++ b/guavastream/http1/server.py
@@ -1,4 +1,4 @@
-"""Listens at an address and hands requests to a coroutine."""
+"""HTTP/1.1 server that passes requests to a coroutine function."""
 
 import asyncio
 import contextlib
@@ -10,19 +10,19 @@
 
 __all__ = ["Limits", "Server"]
 
-BACKLOG = 1024
-# Connections that only read on, at a time.
-MOST_LINGERING = 200
-# Time for the loop to accept the connections that have begun.
-ACCEPT_SECONDS = 0.05
-# Longest wait at a stop for answers that are on their way out.
+ACCEPT_BACKLOG = 1024
+# Connections that may linger at a time: that only read before they close.
+MAX_LINGERING_CONNECTIONS = 200
+# Time in which the event loop accepts the connections in the listen queue.
+DRAIN_LISTENER_SECONDS = 0.05
+# Longest wait of `Server.stop` for buffered responses to be sent.
 FLUSH_SECONDS = 0.2
-POLL_SECONDS = 0.01
+STOP_POLL_SECONDS = 0.01
 
 
 @dataclass(frozen=True, kw_only=True)
 class Limits:
-    """What a caller may send and how long it may take; times in seconds."""
+    """Limits on the size of requests and on the time (seconds) callers may take."""
 
     head_bytes: int = 16384
     body_bytes: int = 64 << 20
@@ -31,30 +31,32 @@
 
 
 class Server:
-    """Listens at one address and hands each request to a coroutine.
+    """HTTP/1.1 server on one address.
 
     Parameters
     ----------
     address : tuple
-        IP number and port; port 0 lets the system choose.
+        IP address and port; with port 0 the operating system chooses a free port.
     handler : callable
-        Coroutine function of a `Request` and its `Responder`.
+        Coroutine function that is called with a `Request` and its `Responder`.
     limits : Limits, optional
-        Bounds on callers; may be replaced while serving.
-    most : int
-        Connections beyond which idle ones are ended, longest idle first.
+        Limits on callers; may be replaced while the server runs.
+    max_connections : int
+        Number of connections above which idle ones are closed, least recently used
+        first.
     note_refused : callable, optional
-        Told the status of each request that could not be read.
-    note_cut : callable, optional
-        Told the `Cut` of each request whose connection was ended here.
-    farewell : bytes, optional
-        A whole answer that is sent on a connection which ends though nothing said so.
-        Peers must bear answers that they have not asked for.
-    tells_idle : bool
-        Whether answers say how long their connection is kept.
-    holds_bodies : bool
-        Whether the handler itself says when a body may come that its sender
-        holds back; else it may come at once.
+        Called with the status of each response to an invalid request.
+    note_aborted : callable, optional
+        Called with the `AbortedRequest` of each request whose connection this server
+        ended before the response was complete.
+    closing_response : bytes, optional
+        Complete response that is sent on a connection which closes without a previous
+        `Connection: close`. Peers must tolerate responses without a request.
+    announces_idle_timeout : bool
+        Whether responses announce the idle timeout in a `Keep-Alive` field.
+    delays_continue : bool
+        Whether the handler decides when "100 Continue" is sent to a caller that
+        waits for it; otherwise it is sent at once.
     """
 
     def __init__(
@@ -63,32 +65,32 @@
         address,
         handler,
         limits=None,
-        most=2000,
+        max_connections=2000,
         note_refused=None,
-        note_cut=None,
-        farewell=b"",
-        tells_idle=True,
-        holds_bodies=False,
+        note_aborted=None,
+        closing_response=b"",
+        announces_idle_timeout=True,
+        delays_continue=False,
     ):
         self._address = address
         self._listener = None
-        # In the order of their last use.
+        # Least recently used first.
         self._connections = {}
         self._lingering = {}
-        self._most = most
+        self._max_connections = max_connections
         self.handler = handler
         self.limits = limits or Limits()
         self.closing = False
-        self.ends_idle = False
-        self.holds_bodies = holds_bodies
-        self.tells_idle = tells_idle
-        self.farewell = farewell
+        self.closing_idle = False
+        self.delays_continue = delays_continue
+        self.announces_idle_timeout = announces_idle_timeout
+        self.closing_response = closing_response
         self.note_refused = note_refused or (lambda status: None)
-        self.note_cut = note_cut or (lambda cut: None)
+        self.note_aborted = note_aborted or (lambda aborted: None)
 
     @property
     def address(self):
-        """IP:PORT that is bound."""
+        """Bound address as IP:PORT."""
         host, port = self._listener.sockets[0].getsockname()[:2]
         return f"{host}:{port}"
 
@@ -103,7 +105,7 @@
         return sum(connection.busy for connection in self._connections)
 
     async def start(self):
-        """Bind and serve.
+        """Bind the address and accept connections.
 
         Raises
         ------
@@ -114,65 +116,69 @@
         self._listener = await loop.create_server(
             lambda: ServerConnection(server=self),
             *self._address,
-            backlog=BACKLOG,
+            backlog=ACCEPT_BACKLOG,
             reuse_address=True,
         )
 
     def begin_close(self):
-        """Say `Connection: close` on answers and end idle connections."""
-        self.closing = self.ends_idle = True
+        """Send `Connection: close` in responses and close idle connections."""
+        self.closing = self.closing_idle = True
         for connection in list(self._connections):
-            connection.wake()
+            connection.recheck_closing()
 
     def stop_listening(self):
-        """Take no new connections; open ones go on."""
+        """Stop accepting connections at once; open connections continue."""
         self._listener.close()
 
-    async def end_listening(self):
-        """Take no new connections once those that have begun are taken.
+    async def drain_listener(self):
+        """Stop accepting connections after those in the listen queue were accepted.
 
-        Closing a listening socket resets what waits in its queue, whose callers have
-        perhaps sent a whole request. With new ones held off for a moment none waits.
+        Closing a listening socket resets the connections in its queue, on which
+        callers may have sent complete requests already. New connections are dropped
+        for DRAIN_LISTENER_SECONDS first, so that the queue becomes empty.
         """
         for listener in self._listener.sockets:
-            # Not every platform knows it; most of the queue is taken all the same.
+            # Not supported on every platform; most of the queue is accepted anyway.
             with contextlib.suppress(OSError):
                 drop_new_connections(listener)
-        await asyncio.sleep(ACCEPT_SECONDS)
+        await asyncio.sleep(DRAIN_LISTENER_SECONDS)
         self._listener.close()
 
     async def stop(self):
-        """Stop listening; end what is idle, let answers out, and cut the rest."""
+        """Stop listening, abort requests in progress and close all connections.
+
+        Waits up to FLUSH_SECONDS for buffered responses to be sent.
+        """
         self._listener.close()
         for connection in [*self._connections, *self._lingering]:
-            connection.end()
+            connection.close()
         until = asyncio.get_running_loop().time() + FLUSH_SECONDS
         while self.open_count and asyncio.get_running_loop().time() < until:
-            await asyncio.sleep(POLL_SECONDS)
+            await asyncio.sleep(STOP_POLL_SECONDS)
 
-    def opened(self, connection):
-        """Note a new connection, and end idle ones beyond the bound."""
+    def connection_opened(self, connection):
+        """Register a connection, and close idle ones above the maximum."""
         self._connections[connection] = None
-        excess = len(self._connections) - self._most
+        excess = len(self._connections) - self._max_connections
         if excess > 0:
             idle = (c for c in self._connections if c.idle)
             for other in list(itertools.islice(idle, excess)):
-                other.leave()
+                other.close_when_idle()
 
-    def used(self, connection):
-        """Note that a request came on a connection."""
+    def connection_used(self, connection):
+        """Mark a connection as the most recently used."""
         if connection in self._connections:
             del self._connections[connection]
             self._connections[connection] = None
 
-    def lingers(self, connection):
-        """Note a connection that only reads on, and end the oldest beyond the bound."""
+    def connection_lingering(self, connection):
+        """Register a lingering connection, and close the oldest above the maximum."""
         self._connections.pop(connection, None)
         self._lingering[connection] = None
-        if len(self._lingering) > MOST_LINGERING:
-            next(iter(self._lingering)).end()
+        if len(self._lingering) > MAX_LINGERING_CONNECTIONS:
+            next(iter(self._lingering)).close()
 
-    def closed(self, connection):
-        """Forget a connection."""
+    def connection_closed(self, connection):
+        """Remove a closed connection."""
         self._connections.pop(connection, None)
         self._lingering.pop(connection, None)
--- a/guavastream/http1/tests/test_http1.py
+++ b/guavastream/http1/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""Connections that end early, answer early, linger or speak out of turn."""
+"""Client and server connections: early ends, early responses, idle limits, pooling."""
 
 import asyncio
 import warnings
@@ -6,60 +6,61 @@
 import pytest
 
 from guavastream.emulator import run_paused
-from guavastream.http1 import Client, CutOff, Limits, NotSent, Server
-from guavastream.http1.client import MOST_IDLE
+from guavastream.http1 import Client, IncompleteMessage, Limits, NotSent, Server
+from guavastream.http1.client import MAX_IDLE_CONNECTIONS
 
-ADDRESS = ("10.0.0.1", 80)
-PEER = "10.0.0.1:80"
-PATIENT = Limits(idle_seconds=60.0)
+BIND_ADDRESS = ("10.0.0.1", 80)
+SERVER_ADDRESS = "10.0.0.1:80"
+LONG_IDLE_LIMITS = Limits(idle_seconds=60.0)
 
 
-def play(scenario):
+def run_scenario(scenario):
     with warnings.catch_warnings():
         warnings.simplefilter("ignore")
         run_paused(scenario())
 
 
-async def serve_raw(*replies, keep=False):
-    """Serve connections that answer with given bytes; None waits for ever."""
-    waiting = list(replies)
+async def serve_replies(*replies, keep_open=False):
+    """Serve `replies` as raw bytes, one per request; None sends no response."""
+    remaining = list(replies)
 
     async def handle(reader, writer):
-        while waiting:
+        while remaining:
             await reader.readuntil(b"\r\n\r\n")
-            reply = waiting.pop(0)
+            reply = remaining.pop(0)
             if reply is not None:
                 writer.write(reply)
-            if not keep:
+            if not keep_open:
                 break
-        if not keep:
+        if not keep_open:
             writer.close()
 
-    return await asyncio.start_server(handle, *ADDRESS)
+    return await asyncio.start_server(handle, *BIND_ADDRESS)
 
 
-async def ask(client, **kwargs):
-    async with await client.open(PEER, **kwargs) as exchange:
+async def get(client, **kwargs):
+    async with await client.open(SERVER_ADDRESS, **kwargs) as exchange:
         exchange.send(b"GET", b"/", [(b"Host", b"x")])
-        answer = await exchange.answer()
-        body, _ = await answer.body.read_up_to(1 << 20)
-        return answer.status, body
+        response = await exchange.answer()
+        body, _ = await response.body.read_up_to(1 << 20)
+        return response.status, body
 
 
-async def answer_at_once(request, responder):
+async def respond_ok(request, responder):
     await responder.send(200)
 
 
-def test_an_answer_without_a_length_ends_with_its_connection():
+def test_response_without_length_is_complete_at_end_of_connection():
     async def scenario():
-        await serve_raw(b"HTTP/1.1 200 OK\r\n\r\nall of it")
-        assert await ask(Client()) == (200, b"all of it")
+        await serve_replies(b"HTTP/1.1 200 OK\r\n\r\nall of it")
+        assert await get(Client()) == (200, b"all of it")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_answer_without_a_length_that_is_reset_is_not_whole():
-    # The server breaks off; a caller that got the part would take it for all.
+def test_response_without_length_is_incomplete_after_reset():
+    # The server resets the connection within the body. The client must not report the
+    # part that it received as a complete response.
     async def scenario():
         async def handle(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
@@ -68,18 +69,18 @@
             await asyncio.sleep(0.1)
             writer.transport.abort()
 
-        await asyncio.start_server(handle, *ADDRESS)
+        await asyncio.start_server(handle, *BIND_ADDRESS)
         client = Client()
         try:
-            status, body = await ask(client)
-        except CutOff:
+            status, body = await get(client)
+        except IncompleteMessage:
             pass
         else:
-            # The paused network has no resets, only ends.
+            # The emulated network reports a reset as a normal end of the connection.
             assert body == b"half of"
         assert client.idle_count == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -91,51 +92,52 @@
         b"",
     ],
 )
-def test_a_broken_answer_is_cut_off(reply):
+def test_truncated_or_invalid_response_raises_incomplete_message(reply):
     async def scenario():
-        await serve_raw(reply)
+        await serve_replies(reply)
         client = Client()
-        with pytest.raises(CutOff):
-            await ask(client)
+        with pytest.raises(IncompleteMessage):
+            await get(client)
         assert client.idle_count == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_bytes_after_an_answer_belong_to_nobody():
+def test_data_after_response_is_not_used_for_next_request():
     async def scenario():
-        whole = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"
-        await serve_raw(whole + b"a" + whole + b"b", whole + b"c", keep=True)
+        head = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"
+        await serve_replies(head + b"a" + head + b"b", head + b"c", keep_open=True)
         client = Client()
-        assert await ask(client) == (200, b"a")
+        assert await get(client) == (200, b"a")
         assert client.idle_count == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_early_answer_ends_the_upload_and_its_connection():
-    # The server refuses a long body before it has read it and reads on. Used
-    # again, the connection would give it the next head as the body's rest.
+def test_early_response_stops_upload_and_discards_connection():
+    # The server responds before it has read a long body, and continues to read. If the
+    # client reused the connection, the server would take the next head for a part of
+    # that body.
     async def scenario():
         reply = b"HTTP/1.1 413 Too\r\nContent-Length: 0\r\n\r\n"
-        await serve_raw(reply, None, keep=True)
+        await serve_replies(reply, None, keep_open=True)
 
-        class Endless:
+        class EndlessBody:
             async def read(self):
                 await asyncio.sleep(0.01)
                 return b"x" * 1000
 
         client = Client()
-        async with await client.open(PEER) as exchange:
-            exchange.send(b"POST", b"/", [(b"Host", b"x")], b"", Endless())
-            answer = await exchange.answer()
-            await answer.body.read_up_to(10)
-        assert answer.status == 413 and client.idle_count == 0
+        async with await client.open(SERVER_ADDRESS) as exchange:
+            exchange.send(b"POST", b"/", [(b"Host", b"x")], b"", EndlessBody())
+            response = await exchange.answer()
+            await response.body.read_up_to(10)
+        assert response.status == 413 and client.idle_count == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_connection_near_the_end_of_its_idle_time_is_not_used():
+def test_connection_near_its_idle_timeout_is_not_reused():
     async def scenario():
         served = []
 
@@ -143,34 +145,34 @@
             served.append(responder)
             await responder.send(200, [(b"Keep-Alive", b"timeout=4")])
 
-        server = Server(address=ADDRESS, handler=handle)
+        server = Server(address=BIND_ADDRESS, handler=handle)
         await server.start()
         client = Client()
-        await ask(client)
+        await get(client)
         await asyncio.sleep(2.0)
-        await ask(client)
-        assert client.opened == 1
+        await get(client)
+        assert client.opened_count == 1
         await asyncio.sleep(3.5)
-        await ask(client)
-        assert client.opened == 2
-        await ask(client, idle_seconds=0.0)
-        assert client.opened == 3
+        await get(client)
+        assert client.opened_count == 2
+        await get(client, idle_seconds=0.0)
+        assert client.opened_count == 3
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_nobody_listens():
+def test_refused_connection_raises_not_sent():
     async def scenario():
         with pytest.raises(NotSent) as caught:
-            await Client().open(PEER)
+            await Client().open(SERVER_ADDRESS)
         assert caught.value.refused
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_idle_connections_make_room_and_busy_ones_stay():
-    # Callers that open a connection for each repeat would use up the host's
-    # descriptors; the longest idle ones end.
+def test_idle_connections_above_the_maximum_are_closed_but_not_busy_ones():
+    # Callers that open a new connection for every retry could exhaust the host's file
+    # descriptors, so the connections that have been idle longest are closed.
     async def scenario():
         release = asyncio.Event()
 
@@ -179,117 +181,127 @@
                 await release.wait()
             await responder.send(200)
 
-        server = Server(address=ADDRESS, handler=handle, most=3)
+        server = Server(address=BIND_ADDRESS, handler=handle, max_connections=3)
         await server.start()
         client = Client()
-        slow = await client.open(PEER)
+        slow = await client.open(SERVER_ADDRESS)
         slow.send(b"GET", b"/slow", [(b"Host", b"x")])
-        held = [await client.open(PEER, fresh=True) for _ in range(5)]
+        exchanges = [await client.open(SERVER_ADDRESS, fresh=True) for _ in range(5)]
         await asyncio.sleep(0.1)
-        for exchange in held[-2:]:
+        for exchange in exchanges[-2:]:
             exchange.send(b"GET", b"/", [(b"Host", b"x")])
             assert (await exchange.answer()).status == 200
-        with pytest.raises(CutOff):
-            held[0].send(b"GET", b"/", [(b"Host", b"x")])
-            await held[0].answer()
+        with pytest.raises(IncompleteMessage):
+            exchanges[0].send(b"GET", b"/", [(b"Host", b"x")])
+            await exchanges[0].answer()
         release.set()
         assert (await slow.answer()).status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_closing_server_says_so_and_ends_idle_connections():
+def test_closing_server_announces_close_in_responses():
     async def scenario():
         async def handle(request, responder):
             await asyncio.sleep(0.2)
             await responder.send(200)
 
-        server = Server(address=ADDRESS, handler=handle)
+        server = Server(address=BIND_ADDRESS, handler=handle)
         await server.start()
         client = Client()
-        running = asyncio.ensure_future(ask(client))
+        running = asyncio.ensure_future(get(client))
         await asyncio.sleep(0.1)
         server.begin_close()
         assert await running == (200, b"")
         assert client.idle_count == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_silent_caller_is_let_go_after_its_idle_time():
+def test_idle_caller_is_disconnected_after_the_idle_limit():
     async def scenario():
         async def handle(request, responder):
             await responder.send(200)
 
         limits = Limits(idle_seconds=5.0)
-        server = Server(address=ADDRESS, handler=handle, limits=limits)
+        server = Server(address=BIND_ADDRESS, handler=handle, limits=limits)
         await server.start()
-        reader, _ = await asyncio.open_connection(*ADDRESS)
-        began = asyncio.get_running_loop().time()
+        reader, _ = await asyncio.open_connection(*BIND_ADDRESS)
+        started_at = asyncio.get_running_loop().time()
         assert await reader.read() == b""
-        assert asyncio.get_running_loop().time() - began == pytest.approx(5.0, abs=0.1)
+        assert asyncio.get_running_loop().time() - started_at == pytest.approx(
+            5.0, abs=0.1
+        )
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-@pytest.mark.parametrize("asks", [True, False])
-def test_a_body_is_sent_only_when_the_peer_asks_for_it(asks):
-    # A peer without room answers at once. The body would have filled its link
-    # for nothing; and what it sees next on the connection must be no body.
-    body, seen = b"x" * 50_000, []
+@pytest.mark.parametrize("sends_continue", [True, False])
+def test_body_is_sent_only_after_100_continue(sends_continue):
+    # A peer without capacity refuses at once. Sending the body anyway would load its
+    # link for nothing, and the connection must not be reused, since the peer would
+    # take the next request for the body.
+    body, body_ended_early = b"x" * 50_000, []
 
     async def scenario():
         async def handle(request, responder):
             if request.method == b"POST":
                 await asyncio.sleep(0.2)
-                seen.append(request.body.ended)
-                if asks:
-                    responder.go_ahead()
-                    taken, _ = await request.body.read_up_to(1 << 20)
-                    assert taken == body
-            await responder.send(200 if asks else 503)
-
-        server = Server(address=ADDRESS, handler=handle, holds_bodies=True)
+                body_ended_early.append(request.body.ended)
+                if sends_continue:
+                    responder.send_continue()
+                    received, _ = await request.body.read_up_to(1 << 20)
+                    assert received == body
+            await responder.send(200 if sends_continue else 503)
+
+        server = Server(address=BIND_ADDRESS, handler=handle, delays_continue=True)
         await server.start()
         client = Client()
-        async with await client.open(PEER) as exchange:
-            await exchange.send_when_asked(b"POST", b"/", [(b"Host", b"x")], body)
-            answer = await exchange.answer()
-            await answer.body.read_up_to(1 << 10)
-        assert answer.status == (200 if asks else 503) and seen == [False]
-        assert client.idle_count == (1 if asks else 0)
-        assert (await ask(client))[0] == answer.status
-
-    play(scenario)
-
-
-def test_connections_of_hosts_that_ask_each_other_rarely_are_kept():
-    # A host asked each of a hundred servers three times a minute and opened a
-    # connection for nearly every request, though the peer kept the old one open.
+        async with await client.open(SERVER_ADDRESS) as exchange:
+            await exchange.send_after_continue(b"POST", b"/", [(b"Host", b"x")], body)
+            response = await exchange.answer()
+            await response.body.read_up_to(1 << 10)
+        assert response.status == (
+            200 if sends_continue else 503
+        ) and body_ended_early == [False]
+        assert client.idle_count == (1 if sends_continue else 0)
+        assert (await get(client))[0] == response.status
+
+    run_scenario(scenario)
+
+
+def test_connections_between_hosts_with_infrequent_requests_are_reused():
+    # Guards against a client that drops connections which the peer still keeps open.
+    # A host that sends three requests a minute to each of a hundred servers would open
+    # a connection for nearly every request.
     async def scenario():
-        server = Server(address=ADDRESS, handler=answer_at_once, limits=PATIENT)
+        server = Server(
+            address=BIND_ADDRESS, handler=respond_ok, limits=LONG_IDLE_LIMITS
+        )
         await server.start()
         client = Client(idle_seconds=60.0)
-        await ask(client)
+        await get(client)
         await asyncio.sleep(30.0)
-        await ask(client)
-        assert client.opened == 1 and client.idle_count == 1
+        await get(client)
+        assert client.opened_count == 1 and client.idle_count == 1
         await server.stop()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_idle_connections_of_a_client_are_bounded_and_the_oldest_goes_first():
+def test_client_pool_is_bounded_and_evicts_oldest_connection_first():
     async def scenario():
-        server = Server(address=ADDRESS, handler=answer_at_once)
+        server = Server(address=BIND_ADDRESS, handler=respond_ok)
         await server.start()
         client = Client()
-        held = [await client.open(PEER) for _ in range(MOST_IDLE + 5)]
-        for exchange in held:
+        exchanges = [
+            await client.open(SERVER_ADDRESS) for _ in range(MAX_IDLE_CONNECTIONS + 5)
+        ]
+        for exchange in exchanges:
             exchange.send(b"GET", b"/", [(b"Host", b"x")])
             await (await exchange.answer()).body.read_up_to(1)
             await exchange.__aexit__()
-        assert client.idle_count == MOST_IDLE
+        assert client.idle_count == MAX_IDLE_CONNECTIONS
         await server.stop()
 
-    play(scenario)
+    run_scenario(scenario)
--- a/guavastream/http1/tests/test_no_answer_missing.py
+++ b/guavastream/http1/tests/test_no_answer_missing.py
@@ -1,4 +1,4 @@
-"""Whoever has sent a whole request gets an answer on that connection."""
+"""Every request that was sent completely gets a response on its connection."""
 
 import asyncio
 import socket
@@ -6,7 +6,7 @@
 import pytest
 
 from guavastream.emulator import run_stalling
-from guavastream.http1 import BodyStream, Client, CutOff, Limits, Server
+from guavastream.http1 import BodyStream, Client, IncompleteMessage, Limits, Server
 from guavastream.kernel import ThrottledSelector
 
 IDLE_SECONDS = 5.0
@@ -15,18 +15,18 @@
 
 
 class Caller:
-    """A caller that writes bytes as it likes and reads what comes."""
+    """A caller that sends raw bytes and reads the responses."""
 
     def __init__(self, reader, writer):
         self.reader = reader
         self.writer = writer
 
     def send(self, data):
-        """Send bytes at once."""
+        """Send bytes without waiting."""
         self.writer.write(data)
 
-    async def read(self):
-        """Return the head and the body of the next answer."""
+    async def read_response(self):
+        """Return the head and the body of the next response."""
         head = await self.reader.readuntil(b"\r\n\r\n")
         length = next(
             int(line.split(b":")[1])
@@ -36,28 +36,31 @@
         return head, await self.reader.readexactly(length)
 
 
-async def answer(request, responder):
-    """Read the body and answer with its size."""
+async def respond_with_size(request, responder):
+    """Read the body and respond with its size."""
     body, _ = await request.body.read_up_to(1 << 24)
     await responder.send(200, (), b"%d" % len(body))
 
 
 async def refuse(request, responder):
-    """Answer without a look at the body."""
+    """Refuse the request without reading its body."""
     await responder.send(503, (), b"no")
 
 
-def play(scenario, *, handler=answer, selector=None, **limits):
-    """Run a scenario with a server, and a function that connects to it."""
+def run_scenario(scenario, *, handler=respond_with_size, selector=None, **limits):
+    """Run `scenario` with a server and a function that connects to it.
+
+    Afterwards no request may have been aborted by the server.
+    """
     limits = {"idle_seconds": IDLE_SECONDS} | limits
 
     async def run():
-        cuts = []
+        aborted = []
         server = Server(
             address=("127.0.0.1", 0),
             handler=handler,
             limits=Limits(**limits),
-            note_cut=cuts.append,
+            note_aborted=aborted.append,
         )
         await server.start()
         host, _, port = server.address.rpartition(":")
@@ -67,177 +70,180 @@
 
         await scenario(server, connect)
         await server.stop()
-        assert not cuts
+        assert not aborted
 
     run_stalling(run(), selector=selector)
 
 
-def test_a_request_is_served_that_comes_as_its_connection_s_idle_time_ends():
-    """Guards against a connection closed as idle with a request that was read."""
+def test_request_that_arrives_as_the_idle_limit_expires_is_served():
+    """Guards against closing a connection as idle after its request was read."""
 
     async def scenario(server, connect):
         caller = await connect()
         for _ in range(3):
             caller.send(GET)
-            assert (await caller.read())[0].startswith(OK)
+            assert (await caller.read_response())[0].startswith(OK)
             await asyncio.sleep(0)
             caller.send(GET)
             asyncio.get_running_loop().stand_still(IDLE_SECONDS + 1.0)
-            assert (await caller.read())[0].startswith(OK)
+            assert (await caller.read_response())[0].startswith(OK)
+
+    run_scenario(scenario)
 
-    play(scenario)
 
+def test_unread_request_is_served_when_the_idle_limit_expires():
+    """Guards against closing a connection as idle while its socket has unread data.
 
-def test_a_request_is_served_that_waits_unread_as_the_idle_time_ends():
-    """Guards against a loop that runs timers before it has looked at its sockets."""
+    An event loop may run an expired timer before it polls the sockets.
+    """
 
     async def scenario(server, connect):
         loop = asyncio.get_running_loop()
         caller = await connect()
         for rounds in range(6):
             caller.send(GET)
-            assert (await caller.read())[0].startswith(OK)
+            assert (await caller.read_response())[0].startswith(OK)
             for _ in range(rounds):
                 await asyncio.sleep(0)
             caller.send(GET)
             loop.stand_still(IDLE_SECONDS + 1.0)
-            # Something is ready to run, so that the loop does not wait.
+            # A ready callback, so that the loop does not wait for its sockets.
             loop.call_soon(lambda: None)
-            assert (await caller.read())[0].startswith(OK)
+            assert (await caller.read_response())[0].startswith(OK)
 
-    play(scenario, selector=ThrottledSelector())
+    run_scenario(scenario, selector=ThrottledSelector())
 
 
-def test_a_request_is_served_that_waits_unread_as_its_server_closes():
-    """Guards against idle connections that a stop ends with a request on them."""
+def test_unread_request_is_served_when_the_server_closes():
+    """Guards against closing a connection that has an unread request."""
 
     async def scenario(server, connect):
         caller = await connect()
         caller.send(GET)
-        await caller.read()
+        await caller.read_response()
         caller.send(GET)
         server.begin_close()
-        head, _ = await caller.read()
+        head, _ = await caller.read_response()
         assert head.startswith(OK) and b"connection: close" in head.lower()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_longer_idle_limit_holds_for_connections_that_are_open():
-    """Guards against callers who trust a new limit and meet the old one."""
+def test_longer_idle_limit_applies_to_open_connections():
+    """Guards against applying the old limit to callers that rely on the new one."""
 
     async def scenario(server, connect):
         loop = asyncio.get_running_loop()
         caller = await connect()
         caller.send(GET)
-        await caller.read()
+        await caller.read_response()
         server.limits = Limits(idle_seconds=4 * IDLE_SECONDS)
         loop.stand_still(2 * IDLE_SECONDS)
         for _ in range(20):
             await asyncio.sleep(0)
         caller.send(GET)
-        assert (await caller.read())[0].startswith(OK)
+        assert (await caller.read_response())[0].startswith(OK)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_shorter_idle_limit_holds_from_the_next_answer_on():
-    """Guards against callers who still know the old limit and meet the new one."""
+def test_shorter_idle_limit_applies_from_the_next_response():
+    """Guards against applying the new limit to callers that rely on the old one."""
 
     async def scenario(server, connect):
         loop = asyncio.get_running_loop()
         caller = await connect()
         caller.send(GET)
-        await caller.read()
+        await caller.read_response()
         server.limits = Limits(idle_seconds=IDLE_SECONDS / 10)
         loop.stand_still(IDLE_SECONDS / 2)
         for _ in range(20):
             await asyncio.sleep(0)
         caller.send(GET)
-        assert (await caller.read())[0].startswith(OK)
+        assert (await caller.read_response())[0].startswith(OK)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_callers_are_told_how_long_a_connection_is_kept():
-    """Guards against callers who guess, and send as their connection is closed."""
+def test_idle_limit_is_announced_in_responses():
+    """Guards against callers that send on a connection while it is closed as idle."""
 
     async def scenario(server, connect):
         caller = await connect()
         caller.send(GET)
-        head, _ = await caller.read()
-        told = head.lower().partition(b"keep-alive: timeout=")[2].split(b"\r\n")[0]
-        # A fifth is left for the way and for a host that stands still.
-        assert int(told) == 4
+        head, _ = await caller.read_response()
+        announced = head.lower().partition(b"keep-alive: timeout=")[2].split(b"\r\n")[0]
+        # A fifth is left for network latency and pauses of the host.
+        assert int(announced) == 4
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-@pytest.mark.parametrize("ahead", [1, 3])
-def test_requests_that_were_sent_ahead_are_answered_by_a_closing_server(ahead):
-    """Guards against requests that were read and dropped with `Connection: close`."""
-    begun, go_on = asyncio.Event(), asyncio.Event()
+@pytest.mark.parametrize("pipelined", [1, 3])
+def test_pipelined_requests_are_answered_by_a_closing_server(pipelined):
+    """Guards against dropping requests that were read before the server closes."""
+    handler_called, proceed = asyncio.Event(), asyncio.Event()
 
-    async def wait(request, responder):
-        begun.set()
-        await go_on.wait()
+    async def respond_later(request, responder):
+        handler_called.set()
+        await proceed.wait()
         await responder.send(200)
 
     async def scenario(server, connect):
         caller = await connect()
-        caller.send(GET * (1 + ahead))
-        await begun.wait()
+        caller.send(GET * (1 + pipelined))
+        await handler_called.wait()
         server.begin_close()
-        go_on.set()
-        for left in reversed(range(1 + ahead)):
-            head, _ = await caller.read()
+        proceed.set()
+        for remaining in reversed(range(1 + pipelined)):
+            head, _ = await caller.read_response()
             assert head.startswith(OK)
-            assert (b"connection: close" in head.lower()) == (left == 0)
+            assert (b"connection: close" in head.lower()) == (remaining == 0)
         assert await caller.reader.read() == b""
 
-    play(scenario, handler=wait)
+    run_scenario(scenario, handler=respond_later)
 
 
-def test_a_connection_is_not_closed_whose_answer_did_not_say_so():
-    """Guards against a stop between the head of an answer and its end."""
-    begun, go_on = asyncio.Event(), asyncio.Event()
+def test_connection_stays_open_if_its_response_did_not_announce_the_close():
+    """Guards against closing a connection that began a response before the stop."""
+    handler_called, proceed = asyncio.Event(), asyncio.Event()
 
-    async def answer_slowly(request, responder):
+    async def respond_in_parts(request, responder):
         await responder.start(200, (), length=2)
-        begun.set()
-        await go_on.wait()
+        handler_called.set()
+        await proceed.wait()
         await responder.write(b"ok")
         responder.finish()
 
     async def scenario(server, connect):
         caller = await connect()
         caller.send(GET)
-        await begun.wait()
+        await handler_called.wait()
         server.closing = True
         caller.send(GET)
-        go_on.set()
-        assert (await caller.read())[0].startswith(OK)
-        assert (await caller.read())[0].startswith(OK)
+        proceed.set()
+        assert (await caller.read_response())[0].startswith(OK)
+        assert (await caller.read_response())[0].startswith(OK)
 
-    play(scenario, handler=answer_slowly)
+    run_scenario(scenario, handler=respond_in_parts)
 
 
-def test_requests_before_one_that_cannot_be_read_are_answered():
-    """Guards against good requests that are dropped for a bad one behind them."""
+def test_requests_before_an_invalid_one_are_answered():
+    """Guards against dropping valid requests because an invalid one follows."""
 
     async def scenario(server, connect):
         caller = await connect()
         caller.send(GET * 2 + b"nonsense\r\n\r\n")
-        assert (await caller.read())[0].startswith(OK)
-        assert (await caller.read())[0].startswith(OK)
-        assert (await caller.read())[0].startswith(b"HTTP/1.1 400")
+        assert (await caller.read_response())[0].startswith(OK)
+        assert (await caller.read_response())[0].startswith(OK)
+        assert (await caller.read_response())[0].startswith(b"HTTP/1.1 400")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("size", [3_000, 300_000, 3_000_000])
-def test_a_refusal_reaches_a_caller_that_still_sends_its_body(size):
-    """Guards against a reset that overtakes the answer, for bytes left unread."""
+def test_refusal_reaches_a_caller_that_is_sending_its_body(size):
+    """Guards against a reset, due to unread data, that overtakes the response."""
 
     async def scenario(server, connect):
         caller = await connect()
@@ -248,15 +254,15 @@
         await caller.writer.drain()
         caller.send(body[size // 2 :])
         await caller.writer.drain()
-        head, body = await caller.read()
+        head, body = await caller.read_response()
         assert head.startswith(b"HTTP/1.1 503") and body == b"no"
         assert await caller.reader.read() == b""
 
-    play(scenario, handler=refuse)
+    run_scenario(scenario, handler=refuse)
 
 
-def test_a_body_in_chunks_beyond_the_limit_is_told_so():
-    """Guards against a reset in place of 413."""
+def test_chunked_body_above_the_limit_is_answered_with_413():
+    """Guards against resetting the connection instead of sending 413."""
 
     async def scenario(server, connect):
         caller = await connect()
@@ -267,19 +273,19 @@
             caller.send(b"400\r\n" + bytes(1024) + b"\r\n")
             await caller.writer.drain()
         caller.send(b"0\r\n\r\n")
-        assert (await caller.read())[0].startswith(b"HTTP/1.1 413")
+        assert (await caller.read_response())[0].startswith(b"HTTP/1.1 413")
 
-    play(scenario, body_bytes=4096)
+    run_scenario(scenario, body_bytes=4096)
 
 
-@pytest.mark.parametrize("after", [0.0, 2.0])
-def test_a_head_that_takes_longer_than_its_limit_is_refused(after):
-    """Guards against heads that may take as long as a connection may be idle."""
+@pytest.mark.parametrize("idle_before", [0.0, 2.0])
+def test_head_that_exceeds_its_time_limit_is_answered_with_408(idle_before):
+    """Guards against applying the longer idle limit while a head is received."""
 
     async def scenario(server, connect):
         loop = asyncio.get_running_loop()
         caller = await connect()
-        loop.stand_still(after)
+        loop.stand_still(idle_before)
         caller.send(GET[:9])
         for _ in range(20):
             await asyncio.sleep(0)
@@ -287,75 +293,75 @@
         for _ in range(20):
             await asyncio.sleep(0)
         caller.send(GET[9:])
-        assert (await caller.read())[0].startswith(b"HTTP/1.1 408")
+        assert (await caller.read_response())[0].startswith(b"HTTP/1.1 408")
 
-    play(scenario, head_seconds=1.0)
+    run_scenario(scenario, head_seconds=1.0)
 
 
-def test_a_request_whose_handler_fails_is_answered():
-    """Guards against an error nobody expects that ends the connection."""
+def test_request_is_answered_with_500_if_its_handler_raises():
+    """Guards against an unexpected exception that closes the connection."""
 
     async def fail(request, responder):
-        raise KeyError("nobody expects it")
+        raise KeyError("unexpected")
 
     async def scenario(server, connect):
         caller = await connect()
         for _ in range(2):
             caller.send(GET)
-            assert (await caller.read())[0].startswith(b"HTTP/1.1 500")
+            assert (await caller.read_response())[0].startswith(b"HTTP/1.1 500")
 
-    play(scenario, handler=fail)
+    run_scenario(scenario, handler=fail)
 
 
-def test_an_answer_that_is_written_is_not_taken_back():
-    """Guards against a time limit that strikes while a whole answer goes out."""
+def test_complete_response_is_not_aborted_by_a_timeout():
+    """Guards against a timeout that interrupts sending a complete response."""
     size = 8 << 20
 
-    async def answer_late(request, responder):
+    async def respond_with_timeout(request, responder):
         try:
             async with asyncio.timeout(0.0):
                 await responder.send(200, (), bytes(size))
         except TimeoutError:
-            if not responder.whole:
+            if not responder.complete:
                 responder.abort()
 
     async def scenario(server, connect):
         caller = await connect()
         caller.send(GET)
-        head, body = await caller.read()
+        head, body = await caller.read_response()
         assert head.startswith(OK) and len(body) == size
         caller.send(GET)
-        assert (await caller.read())[0].startswith(OK)
+        assert (await caller.read_response())[0].startswith(OK)
 
-    play(scenario, handler=answer_late)
+    run_scenario(scenario, handler=respond_with_timeout)
 
 
-def test_a_body_that_was_cut_off_is_never_whole():
-    """Guards against a request that is passed on with a part of its body."""
+def test_failed_body_never_becomes_complete():
+    """Guards against forwarding a request with an incomplete body."""
 
     async def scenario():
         body = BodyStream(
             loop=asyncio.get_running_loop(), pause=lambda: None, resume=lambda: None
         )
         body.feed(b"part")
-        body.fail(CutOff("too large"))
+        body.fail(IncompleteMessage("too large"))
         body.feed_end()
         assert not body.ended
-        with pytest.raises(CutOff):
+        with pytest.raises(IncompleteMessage):
             await body.read_up_to(1 << 20)
 
     asyncio.run(scenario())
 
 
-def test_callers_who_have_just_connected_are_answered_by_a_server_that_stops():
-    """Guards against connections that are reset in the queue of a closed listener."""
+def test_new_connections_are_answered_by_a_stopping_server():
+    """Guards against resetting connections in the queue of a closed listener."""
 
     async def scenario(server, connect):
         host, _, port = server.address.rpartition(":")
         callers = [socket.create_connection((host, int(port))) for _ in range(50)]
         for caller in callers:
             caller.sendall(GET)
-        await server.end_listening()
+        await server.drain_listener()
         server.begin_close()
         while server.busy:
             await asyncio.sleep(0)
@@ -364,14 +370,14 @@
             with caller:
                 assert caller.recv(100).startswith(OK)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_answers_that_still_go_out_are_not_lost_with_the_server():
-    """Guards against a stop that ends with answers in the buffers of connections."""
+def test_buffered_responses_are_sent_before_the_server_stops():
+    """Guards against a stop that discards responses in the write buffers."""
     size = 8 << 20
 
-    async def answer_much(request, responder):
+    async def respond_with_large_body(request, responder):
         await responder.send(200, (), bytes(size))
 
     async def scenario(server, connect):
@@ -384,40 +390,42 @@
         await stopping
         assert server.open_count == 0
 
-    play(scenario, handler=answer_much)
+    run_scenario(scenario, handler=respond_with_large_body)
 
 
-def test_a_request_that_crosses_the_end_of_its_connection_is_told_so():
-    """Guards against a connection between hosts that ends under a request just sent."""
-    ran = []
+def test_request_that_crosses_the_close_of_its_connection_is_answered():
+    """Guards against a close without a response to a request that was just sent."""
+    handled = []
 
-    async def run(request, responder):
-        ran.append(request)
+    async def respond(request, responder):
+        handled.append(request)
         await responder.send(200)
 
     async def scenario():
-        farewell = b"HTTP/1.1 503 Gone\r\nContent-Length: 0\r\n\r\n"
-        server = Server(address=("127.0.0.1", 0), handler=run, farewell=farewell)
+        closing_response = b"HTTP/1.1 503 Gone\r\nContent-Length: 0\r\n\r\n"
+        server = Server(
+            address=("127.0.0.1", 0), handler=respond, closing_response=closing_response
+        )
         await server.start()
         client = Client()
-        for crosses in (False, True):
+        for crosses_close in (False, True):
             async with await client.open(server.address) as exchange:
                 exchange.send(b"GET", b"/x", [])
                 assert (await exchange.answer()).status == 200
-            server.ends_idle = True
+            server.closing_idle = True
             for connection in list(server._connections):
-                connection.wake()
-            # The server ends the connection; its peer has not read that yet.
+                connection.recheck_closing()
+            # The server closes the connection; the client has not read that yet.
             await asyncio.sleep(0)
-            if not crosses:
-                while client.count_open(server.address):
+            if not crosses_close:
+                while client.count_usable(server.address):
                     await asyncio.sleep(0)
-                server.ends_idle = False
+                server.closing_idle = False
         async with await client.open(server.address) as exchange:
             assert exchange.reused
             exchange.send(b"GET", b"/x", [])
             assert (await exchange.answer()).status == 503
-        assert len(ran) == 2
+        assert len(handled) == 2
         await server.stop()
 
     run_stalling(scenario())
--- a/guavastream/operate/door.py
+++ b/guavastream/operate/door.py
@@ -11,7 +11,7 @@
 from guavastream.control import AskControl, ChangeVoters
 from guavastream.declare import parse_declaration
 from guavastream.exception import FindingsError, GuavastreamError
-from guavastream.http1 import CutOff
+from guavastream.http1 import IncompleteMessage
 from guavastream.state import (
     ApplyDeclaration,
     ChangeAnswer,
@@ -118,7 +118,7 @@
         if self._is_allowed(request):
             try:
                 reply = await self._reply(request)
-            except CutOff:
+            except IncompleteMessage:
                 # The request ended early, or is larger than any declaration.
                 responder.abort()
                 return
--- a/guavastream/operate/tests/test_door.py
+++ b/guavastream/operate/tests/test_door.py
@@ -7,7 +7,7 @@
 from guavastream.control import ControlInfo, HostReport
 from guavastream.emulator import run_paused
 from guavastream.exception import NotReady
-from guavastream.http1 import Client, CutOff, Limits, Server
+from guavastream.http1 import Client, IncompleteMessage, Limits, Server
 from guavastream.operate.door import MAX_BODY_BYTES, OperatorDoor
 from guavastream.replica import TableHolder
 from guavastream.state import ChangeAnswer, ShardTableCodec
@@ -132,7 +132,7 @@
                 exchange.send(b"POST", b"/changes", fields, b"", Stream())
                 answer = await exchange.answer()
                 assert answer.status >= 400
-        except CutOff:
+        except IncompleteMessage:
             pass
 
     play(scenario, leader=leader)
--- a/guavastream/platform/emulator/machine.py
+++ b/guavastream/platform/emulator/machine.py
@@ -8,7 +8,7 @@
 import sys
 from dataclasses import dataclass
 
-from guavastream.http1 import Client, CutOff, NotSent
+from guavastream.http1 import Client, IncompleteMessage, NotSent
 
 __all__ = [
     "HEARTBEAT_SECONDS",
@@ -48,7 +48,7 @@
                 )
                 answer = await exchange.answer()
                 return answer.status, (await answer.body.read_up_to(1 << 24))[0]
-    except (NotSent, CutOff, TimeoutError):
+    except (NotSent, IncompleteMessage, TimeoutError):
         return 0, b""
 
 
--- a/guavastream/platform/soak.py
+++ b/guavastream/platform/soak.py
@@ -9,7 +9,7 @@
 
 from guavastream.commands import command
 from guavastream.exception import GuavastreamError
-from guavastream.http1 import Client, CutOff, NotSent
+from guavastream.http1 import Client, IncompleteMessage, NotSent
 from guavastream.platform.emulator import (
     ROUTES,
     EmulatedPlatform,
@@ -238,7 +238,7 @@
                     client, server_host, route_name, id, key, body, path_suffix
                 )
             self.ledger.record_answer(id, status, data, b"body of " + id)
-        except CutOff:
+        except IncompleteMessage:
             status = CONNECTION_ENDED
         except (NotSent, TimeoutError):
             pass
--- a/guavastream/platform/tests/test_keys.py
+++ b/guavastream/platform/tests/test_keys.py
@@ -7,7 +7,7 @@
 
 from guavastream.fleet import Instance
 from guavastream.hosts.key_keeper import KeySender
-from guavastream.http1 import CutOff, Headers
+from guavastream.http1 import Headers, IncompleteMessage
 from guavastream.leases import KeyCall
 from guavastream.platform.keys import MAX_HANDOVER_LENGTH, PlatformKeyDialect
 from guavastream.relay import KeyOutcome
@@ -85,7 +85,7 @@
             zone="z",
             slots=1,
         )
-        with pytest.raises(CutOff):
+        with pytest.raises(IncompleteMessage):
             await KeySender(dialect=PlatformKeyDialect()).send(instance, GRANT)
         server.close()
 
--- a/guavastream/relay/hop.py
+++ b/guavastream/relay/hop.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from guavastream.http1 import CutOff, format_head
+from guavastream.http1 import IncompleteMessage, format_head
 from guavastream.kernel import TimeLimit, TimeLimitGroup, replace
 from guavastream.relay.admission import AdmissionQueue
 from guavastream.relay.dialect import INTERNAL_PREFIX
@@ -153,7 +153,9 @@
         """Answer a request of another host for the local server."""
         try:
             body, stream = b"", None
-            if not request.awaits_go and (request.body.ended or not request.length):
+            if not request.expects_continue and (
+                request.body.ended or not request.length
+            ):
                 # Most bodies are short and arrive together with the head.
                 body, stream = await read_body(request)
             attempt = self._parse_attempt(request, body, stream)
@@ -163,7 +165,9 @@
         try:
             if self.leaving:
                 raise NotRun("unreachable")
-            if request.awaits_go or not (request.body.ended or not request.length):
+            if request.expects_continue or not (
+                request.body.ended or not request.length
+            ):
                 attempt = await self._receive_body(attempt, request, responder)
             with self._limits.until(attempt.deadline):
                 async with self._guard.serve(attempt) as answer:
@@ -176,7 +180,7 @@
             await self._send_failure(responder, attempt.kind, unknown.code)
         except TimeoutError:
             await self._send_failure(responder, attempt.kind, "no_answer")
-        except CutOff:
+        except IncompleteMessage:
             await responder.send(400)
 
     async def _receive_body(self, attempt, request, responder):
@@ -191,12 +195,12 @@
         """
         try:
             with TimeLimit(loop=self._loop, when=attempt.deadline):
-                if request.awaits_go and not 0 <= request.length < LARGE_BYTES:
+                if request.expects_continue and not 0 <= request.length < LARGE_BYTES:
                     body, stream = await self._receive_large_body(
                         attempt, request, responder
                     )
                 else:
-                    responder.go_ahead()
+                    responder.send_continue()
                     body, stream = await read_body(request)
         except TimeoutError:
             raise NotRun("no_time") from None
@@ -213,7 +217,7 @@
         )
         began, seconds = self._clock(), None
         try:
-            responder.go_ahead()
+            responder.send_continue()
             with TimeLimit.within(MAX_BODY_SECONDS, loop=self._loop):
                 received = await read_body(request)
             seconds = self._clock() - began
@@ -282,7 +286,7 @@
         responder.finish()
 
     async def _send_failure(self, responder, kind, code, retry_after=0.0):
-        if responder.whole:
+        if responder.complete:
             # The deadline passed just after the whole answer was sent.
             return
         if responder.started:
--- a/guavastream/relay/ingress.py
+++ b/guavastream/relay/ingress.py
@@ -5,7 +5,7 @@
 import logging
 import random
 
-from guavastream.http1 import Client, CutOff, NotSent
+from guavastream.http1 import Client, IncompleteMessage, NotSent
 from guavastream.kernel import Policy, TimeLimitGroup, part_logger, replace
 from guavastream.relay.budget import RetryBudget
 from guavastream.relay.dialect import INTERNAL_PREFIX
@@ -373,8 +373,8 @@
             sent_at = self._clock()
             try:
                 answer = await exchange.answer()
-            except CutOff as cut:
-                self._client.forget(server.door)
+            except IncompleteMessage as cut:
+                self._client.close_idle(server.door)
                 self._log_cut(job, server, exchange, cut, sent_at)
                 raise OutcomeUnknown("answer_lost") from None
             report = read_report(answer)
@@ -382,14 +382,14 @@
                 self._note_report(job, server, report)
             failure = read_failure(answer)
             if failure is not None:
-                with contextlib.suppress(CutOff):
+                with contextlib.suppress(IncompleteMessage):
                     await answer.body.read_up_to(0)
                 raise failure
 
             async def read():
                 try:
                     return await answer.body.read()
-                except CutOff:
+                except IncompleteMessage:
                     raise OutcomeUnknown("answer_lost") from None
 
             await self._send_answer(job, server, answer, read, responder)
@@ -416,12 +416,12 @@
             exchange.send(job.method, job.target, headers, job.body)
             return
         try:
-            await exchange.send_when_asked(
+            await exchange.send_after_continue(
                 job.method, job.target, headers, job.body, job.stream
             )
-        except CutOff:
+        except IncompleteMessage:
             # No byte of the body was sent, and no request runs without its body.
-            self._client.forget(server.door)
+            self._client.close_idle(server.door)
             raise NotRun(
                 "unreachable", retry_after=DEFAULT_RETRY_AFTER_SECONDS
             ) from None
@@ -480,7 +480,7 @@
         await responder.send(FAILURE_RULES[refused.code].status, headers)
 
     async def _answer_failure(self, responder, job, code):
-        if responder.whole:
+        if responder.complete:
             # The deadline passed just after the whole answer was sent.
             return
         self._count(f"failed.{code}")
--- a/guavastream/relay/job.py
+++ b/guavastream/relay/job.py
@@ -173,7 +173,7 @@
             If there is no configuration yet.
         BadRequest
             If no route matches, or a numeric header is malformed or out of range.
-        CutOff, TimeoutError
+        IncompleteMessage, TimeoutError
             If its body ends early or does not arrive in time.
         """
         index = self._routes()
--- a/guavastream/relay/server_client.py
+++ b/guavastream/relay/server_client.py
@@ -1,6 +1,6 @@
 """Sends requests to the local backend server and classifies the results."""
 
-from guavastream.http1 import Client, CutOff, NotSent
+from guavastream.http1 import Client, IncompleteMessage, NotSent
 from guavastream.kernel import part_logger
 from guavastream.relay.fingerprint import fingerprint
 from guavastream.relay.outcome import NotRun, OutcomeUnknown
@@ -40,7 +40,7 @@
         """Return the next piece of the body, or empty bytes at its end."""
         try:
             return await self._answer.body.read()
-        except CutOff:
+        except IncompleteMessage:
             raise OutcomeUnknown("answer_lost") from None
 
     def close(self):
@@ -104,7 +104,7 @@
         try:
             answer = await self._send_request(exchange, instance, attempt)
             self._check_answer(answer)
-        except CutOff as cut:
+        except IncompleteMessage as cut:
             self.watch.note_unanswered(exchange)
             exchange.close()
             stale = exchange.reused and self._may_repeat(exchange, attempt)
@@ -127,7 +127,9 @@
 
     def _may_repeat(self, exchange, attempt):
         return (
-            attempt.idempotent and not exchange.heard_bytes and attempt.stream is None
+            attempt.idempotent
+            and not exchange.has_received_bytes
+            and attempt.stream is None
         )
 
     async def _open(self, instance, attempt, *, fresh):
--- a/guavastream/relay/server_watch.py
+++ b/guavastream/relay/server_watch.py
@@ -200,7 +200,7 @@
         for _ in range(REFUSED_CONNECTIONS):
             if any(run.instance_id == instance.id for run in self._runs.values()):
                 return False
-            if self._client.count_open(instance.address):
+            if self._client.count_usable(instance.address):
                 return False
             if not await self._refuses_connection(instance):
                 return False
--- a/guavastream/relay/tests/rig.py
+++ b/guavastream/relay/tests/rig.py
@@ -84,7 +84,7 @@
         self.hop_handler = HopHandler(loop=loop, dialect=DIALECT, guard=self.guard)
         self.hop_requests = 0
         self.hop_listener = Server(
-            address=(self.ip, 2), handler=self._handle_hop, holds_bodies=True
+            address=(self.ip, 2), handler=self._handle_hop, delays_continue=True
         )
 
     async def _handle_hop(self, request, responder):
--- a/guavastream/relay/tests/test_hop.py
+++ b/guavastream/relay/tests/test_hop.py
@@ -46,7 +46,7 @@
             method=b"POST",
             target=b"/load/x",
             length=BODY_BYTES,
-            awaits_go=True,
+            expects_continue=True,
             body=SimpleNamespace(read_up_to=self._receive),
         )
 
@@ -62,13 +62,13 @@
 class Responder:
     """Records the permission to send a body, and the status of the answer."""
 
-    started = whole = False
+    started = complete = False
 
     def __init__(self):
         self.permitted = False
         self.status = None
 
-    def go_ahead(self):
+    def send_continue(self):
         self.permitted = True
 
     async def send(self, status, headers=(), body=b"", *, reason=b""):
--- a/guavastream/relay/tests/test_path.py
+++ b/guavastream/relay/tests/test_path.py
@@ -5,7 +5,7 @@
 import pytest
 
 from guavastream.fleet import LeaveInstance, ReleaseKeys
-from guavastream.http1 import CutOff
+from guavastream.http1 import IncompleteMessage
 from guavastream.relay.dialect import INTERNAL_PREFIX
 from guavastream.relay.fingerprint import fingerprint
 from guavastream.relay.guard import DEPARTURE_GRACE_SECONDS
@@ -151,7 +151,7 @@
         for at in (0, 1):
             status, *_ = await mesh.ask(b"/pay/small", method=b"POST", at=at)
             assert status == 502
-            with pytest.raises(CutOff):
+            with pytest.raises(IncompleteMessage):
                 await mesh.ask(b"/pay/large", method=b"POST", at=at)
 
     run_scenario(scenario)
