--- a/guavastream/client/__init__.py
+++ b/guavastream/client/__init__.py
@@ -1,3 +1,3 @@
-"""Library for callers that go straight to the owner of a key."""
+"""Client library that sends requests directly to the owner of a key."""
 
 from guavastream.client.caller import *
--- a/guavastream/client/caller.py
+++ b/guavastream/client/caller.py
@@ -1,4 +1,4 @@
-"""Sends a caller's requests straight to the process beside the owner."""
+"""Sends requests directly to the guavastream process on the owner's host."""
 
 import threading
 import time
@@ -22,10 +22,11 @@
 
 __all__ = ["Caller", "Reply", "RequestFailed"]
 
-ROUTES_SECONDS = 1.0
-OWNER_WAIT_SECONDS = 2.0
-PAUSE_SECONDS = 0.02
-LEARNS = (
+ROUTES_TIMEOUT_SECONDS = 1.0
+MAX_RETRY_SECONDS = 2.0
+RETRY_DELAY_SECONDS = 0.02
+# Refusals that suggest that the routes are out of date.
+STALE_ROUTES_CODES = (
     "no_owner",
     "wrong_owner",
     "moving",
@@ -37,14 +38,14 @@
 
 
 class RequestFailed(GuavastreamError):
-    """A request brought no answer of a backend server.
+    """A request got no answer from a backend server.
 
     Parameters
     ----------
     code : str
-        As in docs/errors.md.
+        One of the codes in docs/errors.md.
     ran : str
-        `not run` or `outcome unknown`.
+        Whether the request ran: `not run` or `outcome unknown`.
     """
 
     def __init__(self, *, code, ran):
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Reply:
-    """An answer; `chunks` yields its body and must be read or closed."""
+    """An answer; `chunks` yields its body and must be consumed or closed."""
 
     status: int
     headers: list
@@ -67,7 +68,7 @@
         Raises
         ------
         RequestFailed
-            If it was cut.
+            If the connection broke before the body was complete.
         """
         try:
             return b"".join(self.chunks)
@@ -77,11 +78,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _Request:
-    """What `classify` needs of a request."""
+    """The parts of a request that `classify` reads."""
 
     method: str
     path: str
-    fields: dict
+    headers: dict
     peer: str = ""
 
     @property
@@ -89,7 +90,7 @@
         return [unquote(part) for part in self.path.partition("?")[0].split("/")[1:]]
 
     def header(self, name):
-        return self.fields.get(name.title(), "")
+        return self.headers.get(name.title(), "")
 
     def query(self, name):
         return parse_qs(self.path.partition("?")[2]).get(name, [""])[0]
@@ -97,6 +98,8 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _Routes:
+    """Routes of one service, as decoded from the JSON answer of a door."""
+
     index: int
     service: Service
     members: dict[str, dict]
@@ -104,7 +107,7 @@
     pins: dict[str, int]
 
 
-def _failed(refused, request):
+def _make_failure(refused, request):
     operation = getattr(request, "operation", "")
     ran = refused.reported_run_status(operation).value
     return RequestFailed(code=refused.refusal.code, ran=ran)
@@ -113,26 +116,26 @@
 class Caller:
     """Sends requests with one hop less than through an arbitrary door.
 
-    It keeps the routes of each service, learns new ones when a process
-    refuses as not the owner, and goes by the same rules about repeating as
-    the doors do.
+    It caches the routes of each service, fetches them again when a process
+    refuses a request because it is not the owner, and follows the same retry
+    rules as the doors.
 
     Parameters
     ----------
     doors : list of str
-        IP:PORT of some doors, to ask for routes.
+        Addresses (IP:PORT) of some doors, from which routes are fetched.
     zone : str
-        Own availability zone; nearer servers win ties.
+        Own availability zone; its servers are preferred for requests without a key.
     """
 
     def __init__(self, *, doors, zone=""):
         self._doors = list(doors)
         self._zone = zone
         self._sender = HttpSender()
-        self._http = urllib3.PoolManager(retries=False, timeout=ROUTES_SECONDS)
+        self._http = urllib3.PoolManager(retries=False, timeout=ROUTES_TIMEOUT_SECONDS)
         self._routes = {}
         self._budgets = {}
-        self._turn = 0
+        self._round_robin_index = 0
         self._lock = threading.Lock()
 
     def send(self, method, path, *, body=None, headers=None):
@@ -148,50 +151,50 @@
         Raises
         ------
         RequestFailed
-            With what is known of it.
+            If no backend server answered; it says whether the request ran.
         """
-        fields = {name.title(): value for name, value in (headers or {}).items()}
+        title_headers = {name.title(): value for name, value in (headers or {}).items()}
         name = path.split("/")[1].partition("?")[0]
-        request = self._classify(method, path, fields, name)
+        request = self._classify(method, path, title_headers, name)
         budget = self._budgets.setdefault(name, RetryBudget())
         budget.earn()
-        patience = min(request.deadline, time.monotonic() + OWNER_WAIT_SECONDS)
+        retry_end = min(request.deadline, time.monotonic() + MAX_RETRY_SECONDS)
         attempts = Attempts(idempotent=request.idempotent)
         replayable = body is None or isinstance(body, bytes)
         while True:
             try:
-                return self._attempt(request, method, path, fields, body)
+                return self._attempt_once(request, method, path, title_headers, body)
             except Refused as refused:
                 attempts.note_refused(refused)
             except AttemptFailed as failed:
                 attempts.note(failed.code, failed.knowledge)
-            may_wait = time.monotonic() < patience
-            if not (attempts.may_try_again and replayable and may_wait):
-                raise _failed(attempts.final(), request)
-            if attempts.code not in LEARNS and not budget.spend():
-                raise _failed(attempts.final(), request)
-            time.sleep(PAUSE_SECONDS)
-            self._learn(name)
+            has_time = time.monotonic() < retry_end
+            if not (attempts.may_try_again and replayable and has_time):
+                raise _make_failure(attempts.final(), request)
+            if attempts.code not in STALE_ROUTES_CODES and not budget.spend():
+                raise _make_failure(attempts.final(), request)
+            time.sleep(RETRY_DELAY_SECONDS)
+            self._fetch_routes(name)
 
     def close(self):
         """Close all connections."""
         self._sender.close()
         self._http.clear()
 
-    def _classify(self, method, path, fields, name) -> ClassifiedRequest:
-        routes = self._routes.get(name) or self._learn(name)
+    def _classify(self, method, path, headers, name) -> ClassifiedRequest:
+        routes = self._routes.get(name) or self._fetch_routes(name)
         declaration = Declaration(services=(routes.service,))
-        request = _Request(method=method, path=path, fields=fields)
+        request = _Request(method=method, path=path, headers=headers)
         try:
             return classify(request, declaration, now=time.monotonic())
         except Refused as refused:
-            raise _failed(refused, request) from None
+            raise _make_failure(refused, request) from None
 
-    def _attempt(self, request, method, path, fields, body):
-        door = self._door_for(request)
+    def _attempt_once(self, request, method, path, headers, body):
+        door = self._choose_door(request)
         left = max(0.001, request.deadline - time.monotonic())
-        sent = {
-            **fields,
+        sent_headers = {
+            **headers,
             "Guavastream-Request-Id": request.id,
             "Guavastream-Deadline-Ms": str(max(1, int(left * 1000))),
         }
@@ -199,7 +202,7 @@
             door,
             method,
             path,
-            sent,
+            sent_headers,
             body,
             seconds=left,
             idle=request.service.idle_ms / 1000,
@@ -210,7 +213,7 @@
             status=answer.status, headers=answer.headers(), chunks=answer.chunks()
         )
 
-    def _door_for(self, request):
+    def _choose_door(self, request):
         routes = self._routes[request.service.name]
         key = request.owned_key
         if key and routes.owners:
@@ -221,22 +224,22 @@
             if member is None:
                 raise Refused("no_owner")
             return member["door"]
-        return self._next_door(routes)
+        return self._choose_any_door(routes)
 
-    def _next_door(self, routes):
-        live = [m for m in routes.members.values() if not m["drained"]]
-        if not live:
+    def _choose_any_door(self, routes):
+        candidates = [m for m in routes.members.values() if not m["drained"]]
+        if not candidates:
             raise Refused("no_owner")
-        near = [m for m in live if m["zone"] == self._zone] or live
-        self._turn += 1
-        return near[self._turn % len(near)]["door"]
+        preferred = [m for m in candidates if m["zone"] == self._zone] or candidates
+        self._round_robin_index += 1
+        return preferred[self._round_robin_index % len(preferred)]["door"]
 
-    def _learn(self, name):
-        """Ask a door for the routes of a service; older ones are not taken."""
+    def _fetch_routes(self, name):
+        """Fetch the routes of a service from the first door that has them."""
         failure = "unreachable"
         for _ in self._doors:
-            door = self._doors[self._turn % len(self._doors)]
-            self._turn += 1
+            door = self._doors[self._round_robin_index % len(self._doors)]
+            self._round_robin_index += 1
             try:
                 answer = self._http.request(
                     "GET", f"http://{door}/.guavastream/routes/{name}"
@@ -244,14 +247,15 @@
             except urllib3.exceptions.HTTPError:
                 continue
             if answer.status == 200:
-                return self._take(name, answer.data)
+                return self._store_routes(name, answer.data)
             failure = msgspec.json.decode(answer.data).get("code", failure)
         raise RequestFailed(code=failure, ran="not run")
 
-    def _take(self, name, data):
+    def _store_routes(self, name, data):
+        """Store routes unless newer ones are stored; return the stored ones."""
         routes = msgspec.json.decode(data, type=_Routes)
         with self._lock:
-            present = self._routes.get(name)
-            if present is None or routes.index >= present.index:
+            stored = self._routes.get(name)
+            if stored is None or routes.index >= stored.index:
                 self._routes[name] = routes
             return self._routes[name]
--- a/guavastream/door/__init__.py
+++ b/guavastream/door/__init__.py
@@ -1,4 +1,4 @@
-"""The door: where callers' requests come in."""
+"""The door: the HTTP entry point for callers' requests."""
 
 from guavastream.door.door import *
 from guavastream.door.forward import *
--- a/guavastream/door/door.py
+++ b/guavastream/door/door.py
@@ -1,4 +1,4 @@
-"""Serves callers: classify, forward, and return the whole answer."""
+"""Handles callers' requests: classify, forward and return the answer."""
 
 from dataclasses import dataclass
 
@@ -12,14 +12,26 @@
 
 __all__ = ["Door", "RefusalBody"]
 
-OWN_PATH = ".guavastream"
+INTERNAL_SEGMENT = ".guavastream"
 
 log = part_logger("door")
 
 
 @dataclass(frozen=True, kw_only=True)
 class RefusalBody:
-    """JSON body of every answer that is not the backend server's own."""
+    """JSON body of an answer that does not come from a backend server.
+
+    Parameters
+    ----------
+    code : str
+        Code of the refusal.
+    ran : str
+        Whether the request ran, a value of `RunStatus`.
+    text : str
+        Explanation for people.
+    request : str
+        Id of the request, empty if it was refused before it got one.
+    """
 
     code: str
     ran: str
@@ -28,42 +40,42 @@
 
 
 class Door:
-    """Handles the exchanges of callers and of other doors.
+    """Handles HTTP requests from callers and from other doors.
 
     Parameters
     ----------
     forwarder : Forwarder
-        Makes the attempts.
+        Forwards requests to the backend servers.
     tables : TableHolder
-        Newest table.
-    ready : callable
-        Whether the table is confirmed as current.
+        Holds the newest table.
+    is_ready : callable
+        Returns whether the table is confirmed as current.
     clock : callable
-        Monotonic time in seconds.
+        Returns the monotonic time in seconds.
     metrics : object
         A statsd client.
     record : callable
-        Takes the kind and fields of an event.
+        Records an event; takes its kind and its fields.
     """
 
-    def __init__(self, *, forwarder, tables, ready, clock, metrics, record):
+    def __init__(self, *, forwarder, tables, is_ready, clock, metrics, record):
         self._forwarder = forwarder
         self._tables = tables
-        self._ready = ready
+        self._is_ready = is_ready
         self._clock = clock
         self._metrics = metrics
         self._record = record
 
     def handle(self, exchange):
-        """Answer one request, in a worker thread."""
-        if exchange.segments and exchange.segments[0] == OWN_PATH:
-            self._answer_itself(exchange)
+        """Answer one request; called in a worker thread."""
+        if exchange.segments and exchange.segments[0] == INTERNAL_SEGMENT:
+            self._answer_internal(exchange)
             return
         started = self._clock()
         self._metrics.incr("door.requests")
         request, code = None, "ok"
         try:
-            if not self._ready():
+            if not self._is_ready():
                 raise Refused("not_ready")
             request = classify(exchange, self._tables.table.declaration, now=started)
             self._forward(exchange, request)
@@ -72,15 +84,15 @@
             self._refuse(exchange, request, refused)
         except (AttemptFailed, BodyFailed) as error:
             code = getattr(error, "code", "caller_gone")
-            self._end(exchange, request, code)
-            # What was begun must not look whole: the connection is cut.
+            self._record_answer(exchange, request, code)
+            # Abort the connection, so that a partial answer does not look complete.
             exchange.abort()
         self._metrics.timing("door.latency", (self._clock() - started) * 1000)
-        self._end(exchange, request, code)
+        self._record_answer(exchange, request, code)
 
     def _forward(self, exchange, request):
         body = Body(exchange=exchange, idle=request.service.idle_ms / 1000)
-        headers = _end_to_end(exchange)
+        headers = _end_to_end_headers(exchange)
         answer = self._forwarder.run(exchange, request, body, headers)
         fields = [
             (name, value)
@@ -93,7 +105,7 @@
             for chunk in answer.chunks():
                 exchange.write(chunk)
         except OSError as error:
-            raise BodyFailed("the caller went away") from error
+            raise BodyFailed("the caller closed its connection") from error
         finally:
             answer.finish(whole=False)
 
@@ -101,7 +113,7 @@
         refusal = refused.refusal
         operation = request.operation if request else ""
         ran = refused.reported_run_status(operation)
-        item = RefusalBody(
+        body = RefusalBody(
             code=refusal.code,
             ran=ran.value,
             text=refusal.text,
@@ -112,9 +124,9 @@
             headers.append(("Guavastream-Ran", "no"))
         if refusal.retry_after:
             headers.append(("Retry-After", str(refusal.retry_after)))
-        exchange.respond(refusal.status, item, headers)
+        exchange.respond(refusal.status, body, headers)
 
-    def _end(self, exchange, request, code):
+    def _record_answer(self, exchange, request, code):
         self._metrics.incr(f"door.answers.{code}")
         if request is None or exchange.header("Guavastream-Hops"):
             return
@@ -126,10 +138,10 @@
             detail={"code": code, "idempotent": request.idempotent},
         )
 
-    def _answer_itself(self, exchange):
+    def _answer_internal(self, exchange):
         table = self._tables.table
         if exchange.segments[1:] == ["health"]:
-            ready = self._ready() and not exchange.closing
+            ready = self._is_ready() and not exchange.closing
             exchange.respond(200 if ready else 503, {"ready": ready})
             return
         if exchange.segments[1:2] == ["routes"] and len(exchange.segments) == 3:
@@ -146,7 +158,7 @@
 
 
 def make_routes(table, service):
-    """Return what a caller's library needs to go straight to the owners."""
+    """Return the routes with which a client library can contact owners directly."""
     shards = table.shards.get(service.name)
     members = {
         str(m.id): {"door": m.door, "zone": m.zone, "drained": table.is_drained(m)}
@@ -162,11 +174,14 @@
     }
 
 
-def _end_to_end(exchange):
-    named = {p.strip().lower() for p in exchange.header("Connection").split(",")}
-    dropped = HOP_BY_HOP | named | {"content-length"}
+def _end_to_end_headers(exchange):
+    """Return the headers of a request that are passed on to the backend server."""
+    connection_headers = {
+        p.strip().lower() for p in exchange.header("Connection").split(",")
+    }
+    excluded = HOP_BY_HOP | connection_headers | {"content-length"}
     return {
         name: value
         for name, value in exchange.headers()
-        if name.lower() not in dropped and not name.lower().startswith("guavastream-")
+        if name.lower() not in excluded and not name.lower().startswith("guavastream-")
     }
--- a/guavastream/door/role.py
+++ b/guavastream/door/role.py
@@ -1,4 +1,4 @@
-"""The door as a role of the daemon."""
+"""Daemon role that runs the door."""
 
 import asyncio
 
@@ -11,20 +11,22 @@
 __all__ = ["DoorRole"]
 
 
-LAME_SECONDS = 1.0
-BACKLOG_SECONDS = 0.1
-POLL_SECONDS = 0.02
-WATCH_SECONDS = 1.0
-# A process that is not ready takes no connections, so that callers go
-# elsewhere at once; after this time it takes them to say so.
-READY_SECONDS = 3.0
+# Time in which callers are told that their connections will be closed.
+DRAIN_NOTICE_SECONDS = 1.0
+# Time in which the connections in the listen backlog are accepted.
+ACCEPT_BACKLOG_SECONDS = 0.1
+DRAIN_POLL_SECONDS = 0.02
+TABLE_WAIT_SECONDS = 1.0
+# Until it is ready, the process accepts no connections, so that callers connect
+# to another host at once. After this time it accepts them and refuses requests.
+MAX_READY_WAIT_SECONDS = 3.0
 
 log = part_logger("door")
 
 
 @ROLES.register("door")
 class DoorRole(Role):
-    """Serves callers and other doors at `--door`."""
+    """Serves callers and other doors at the address given by `--door`."""
 
     @classmethod
     def wanted(cls, settings):
@@ -37,16 +39,16 @@
             tables=node.tables,
             chooser=chooser,
             sender=node.sender,
-            guard=lambda: node.guard,
-            member=lambda: node.membership.member,
+            get_guard=lambda: node.guard,
+            get_member_id=lambda: node.membership.member,
             clock=node.clock,
             metrics=node.metrics,
         )
-        node.spawn(self._watch_members(forwarder))
+        node.spawn(self._cancel_attempts_at_removed_members(forwarder))
         door = Door(
             forwarder=forwarder,
             tables=node.tables,
-            ready=node.membership.ready.is_set,
+            is_ready=node.membership.ready.is_set,
             clock=node.clock,
             metrics=node.metrics,
             record=node.record,
@@ -58,34 +60,37 @@
             watches=True,
         )
         try:
-            async with asyncio.timeout(READY_SECONDS):
+            async with asyncio.timeout(MAX_READY_WAIT_SECONDS):
                 await node.membership.ready.wait()
         except TimeoutError:
-            log.warning("No control host has confirmed the table yet.")
+            log.warning(
+                "No control host has confirmed the shard table yet; the door accepts "
+                "connections and refuses requests."
+            )
         self._server.start()
 
-    async def _watch_members(self, forwarder):
+    async def _cancel_attempts_at_removed_members(self, forwarder):
         tables = self._node.tables
-        known = tables.table.members
+        previous = tables.table.members
         while True:
-            await tables.wait(tables.table.index + 1, WATCH_SECONDS)
-            present = tables.table.members
-            if present is not known:
-                forwarder.abandon(known.keys() - present.keys())
-                known = present
+            await tables.wait(tables.table.index + 1, TABLE_WAIT_SECONDS)
+            current = tables.table.members
+            if current is not previous:
+                forwarder.cancel_attempts(previous.keys() - current.keys())
+                previous = current
 
     async def drain(self, deadline):
-        # Callers with open connections learn from their next answer that
-        # this one will close; closing at once would cut what they are just
-        # sending, and they could not know whether it ran.
+        # The next answer on each open connection announces that the connection
+        # will be closed. Closing at once would break off requests that are being
+        # sent, and their callers could not know whether these ran.
         clock = self._node.clock
         self._server.drain()
-        await asyncio.sleep(LAME_SECONDS)
+        await asyncio.sleep(DRAIN_NOTICE_SECONDS)
         self._server.hold_new()
-        await asyncio.sleep(BACKLOG_SECONDS)
+        await asyncio.sleep(ACCEPT_BACKLOG_SECONDS)
         self._server.refuse_new()
         while self._server.active and clock() < deadline:
-            await asyncio.sleep(POLL_SECONDS)
+            await asyncio.sleep(DRAIN_POLL_SECONDS)
 
     async def stop(self):
         await asyncio.to_thread(self._server.stop)
--- a/guavastream/door/tests/conftest.py
+++ b/guavastream/door/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the path of a request."""
+"""Fixtures for tests that send requests through doors and guards."""
 
 import pytest
 
@@ -7,11 +7,11 @@
 
 
 @pytest.fixture
-def make_path():
-    """Start hosts that share a table; the first one owns every shard."""
+def start_hosts():
+    """Start hosts that share one table; the first host owns all shards."""
     started = []
 
-    def make(service="pages", count=1, **options):
+    def start(service="pages", count=1, **options):
         tables = ShardTableHolder()
         hosts = [
             Host(number=n, service=service, tables=tables, **options)
@@ -21,6 +21,6 @@
         started.extend(hosts)
         return hosts
 
-    yield make
+    yield start
     for host in started:
         host.stop()
--- a/guavastream/door/tests/rig.py
+++ b/guavastream/door/tests/rig.py
@@ -1,4 +1,4 @@
-"""A door, a guard and a stand-in over real sockets, without control hosts."""
+"""Runs doors, guards and stand-in servers on real sockets, without control hosts."""
 
 import random
 import time
@@ -41,12 +41,12 @@
         non_idempotent=("POST /swaps/*",),
     ),
 )
-TICK = 0.01
+TICK_SECONDS = 0.01
 PRESET = Preset(name="p", slow_start_ms=0)
 
 
 class FakeMembership:
-    """A member with a lease that only the test ends."""
+    """A member whose lease ends only when the test ends it."""
 
     def __init__(self, *, member, announced):
         self.member = member
@@ -56,7 +56,7 @@
 
 
 class Host:
-    """A door, a guard and a stand-in in this process."""
+    """A host with a door, a guard and a stand-in server, all in this process."""
 
     def __init__(self, *, number, service, tables, proxied=False):
         self.tables = tables
@@ -67,7 +67,7 @@
                 guard="127.0.0.1:1",
                 work_ms=0,
                 checks_grants=False,
-                tick=TICK,
+                tick=TICK_SECONDS,
             )
         )
         self.server.serve()
@@ -103,15 +103,15 @@
             tables=tables,
             chooser=Chooser(zone="z", clock=time.monotonic, rng=random.Random(1)),
             sender=self.sender,
-            guard=lambda: guard,
-            member=lambda: number,
+            get_guard=lambda: guard,
+            get_member_id=lambda: number,
             clock=time.monotonic,
             metrics=metrics,
         )
         door = Door(
             forwarder=self.forwarder,
             tables=tables,
-            ready=lambda: True,
+            is_ready=lambda: True,
             clock=time.monotonic,
             metrics=metrics,
             record=self._record,
@@ -120,7 +120,7 @@
             address="127.0.0.1:0",
             handler=door.handle,
             threads=32,
-            tick=TICK,
+            tick=TICK_SECONDS,
             watches=True,
         )
         self.http.start()
@@ -128,7 +128,8 @@
     def _record(self, kind, **fields):
         self.events.append((kind, fields))
 
-    def ran(self):
+    def executed_requests(self):
+        """Return the ids of the requests that the server ran."""
         return [e.request for e in self.server.recent() if e.kind == "ran"]
 
     def stop(self):
@@ -140,6 +141,7 @@
 
 
 def make_table(hosts, *, index=1, owner=1):
+    """Return a table in which one member owns all shards of both services."""
     members = {
         number: make_member(
             number,
--- a/guavastream/door/tests/test_attempts.py
+++ b/guavastream/door/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""Random faults against the rules about attempts, with no sockets."""
+"""Tests the retry rules against random faults, without sockets."""
 
 from array import array
 from types import SimpleNamespace
@@ -21,7 +21,7 @@
 
 SERVICE = Service(name="s")
 MEMBERS = 3
-# What befalls one attempt: whether it runs, and what the door learns.
+# Results of an attempt: whether the request runs, and the error that the door gets.
 FATES = {
     "answered": (True, None),
     "answer lost": (True, AttemptFailed(AttemptState.SENT, "answer_lost")),
@@ -34,7 +34,11 @@
 
 
 class FakeGuards:
-    """Plays the guards behind all doors; each attempt has a drawn fate."""
+    """Fakes the guards behind all doors.
+
+    Each attempt ends with the next result of `fates`; once these are used up,
+    attempts are answered.
+    """
 
     def __init__(self, fates):
         self.fates = list(fates)
@@ -51,7 +55,9 @@
         return SimpleNamespace(status=200)
 
 
-class Clock:
+class SteppingClock:
+    """A clock that advances by 10 ms with each reading."""
+
     now = 0.0
 
     def __call__(self):
@@ -72,17 +78,17 @@
         )
     )
     tables.wait_in_thread = lambda index, timeout: True
-    clock = Clock()
+    clock = SteppingClock()
     forwarder = Forwarder(
         tables=tables,
         chooser=Chooser(zone="z", clock=clock),
         sender=None,
-        guard=lambda: None,
-        member=lambda: 0,
+        get_guard=lambda: None,
+        get_member_id=lambda: 0,
         clock=clock,
         metrics=make_metrics(""),
     )
-    forwarder._send_on = guards.attempt
+    forwarder._send_to_door = guards.attempt
     return forwarder
 
 
--- a/guavastream/door/tests/test_caller.py
+++ b/guavastream/door/tests/test_caller.py
@@ -1,4 +1,4 @@
-"""The callers' library against doors and stand-ins."""
+"""Tests the client library against doors and stand-in servers."""
 
 import pytest
 
@@ -10,40 +10,40 @@
     return Caller(doors=[host.http.address for host in hosts])
 
 
-def test_goes_straight_to_the_owner(make_path):
-    hosts = make_path(count=2)
+def test_request_is_sent_directly_to_the_owner(start_hosts):
+    hosts = start_hosts(count=2)
     caller = make_caller(hosts)
     reply = caller.send("PUT", "/pages/rosters/k", body=b"x" * 100_000)
     assert (reply.status, len(reply.read()) > 0) == (200, True)
-    assert len(hosts[0].ran()) == 1
+    assert len(hosts[0].executed_requests()) == 1
     assert not any(kind == "answered" for kind, _ in hosts[1].events)
 
 
-def test_learns_a_new_owner(make_path):
-    """The owner changes; the old one refuses as not run, with its new table."""
-    hosts = make_path(count=2)
+def test_request_follows_a_change_of_owner(start_hosts):
+    """The previous owner refuses the request as not run, as its table is newer."""
+    hosts = start_hosts(count=2)
     caller = make_caller(hosts)
     caller.send("GET", "/pages/rosters/k").read()
     hosts[0].tables.replace(make_table(hosts, index=2, owner=2))
     caller.send("GET", "/pages/rosters/k").read()
-    assert len(hosts[1].ran()) == 1
+    assert len(hosts[1].executed_requests()) == 1
 
 
-def test_swap_whose_answer_is_lost_is_not_repeated(make_path):
-    """The connection breaks after the swap ran and before its answer."""
-    hosts = make_path("swaps", proxied=True)
+def test_swap_whose_answer_is_lost_is_not_repeated(start_hosts):
+    """The connection breaks after the swap ran and before its answer is sent."""
+    hosts = start_hosts("swaps", proxied=True)
     hosts[0].proxy.cut_answers_after(0)
     with pytest.raises(RequestFailed) as caught:
         make_caller(hosts).send("POST", "/swaps/a", body=b"1")
     assert caught.value.ran == "outcome unknown"
-    assert len(hosts[0].ran()) == 1
+    assert len(hosts[0].executed_requests()) == 1
 
 
 @pytest.mark.parametrize(
     ("path", "code"), [("/none/x", "unknown_service"), ("/pages", "missing_key")]
 )
-def test_bad_request_is_told_before_it_is_sent(make_path, path, code):
-    hosts = make_path()
+def test_bad_request_fails_before_it_is_sent(start_hosts, path, code):
+    hosts = start_hosts()
     with pytest.raises(RequestFailed) as caught:
         make_caller(hosts).send("GET", path)
     assert (caught.value.code, caught.value.ran) == (code, "not run")
--- a/guavastream/door/tests/test_path.py
+++ b/guavastream/door/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The path of a request over real sockets, against stand-ins and faults."""
+"""Tests the path of a request over real sockets, with stand-in servers and faults."""
 
 import hashlib
 import http.client
@@ -15,22 +15,22 @@
 from guavastream.state import ShardTableHolder
 
 
-def call(host, method, path, body=None, headers=None, *, settle=True):
-    """Send one request; return its status, headers and JSON body."""
+def send_request(host, method, path, body=None, headers=None, *, wait_until_idle=True):
+    """Send one request; return the status, headers and JSON body of its answer."""
     connection = http.client.HTTPConnection(host.http.address, timeout=10)
     connection.request(method, path, body=body, headers=headers or {})
     answer = connection.getresponse()
     data = answer.read()
     connection.close()
-    # The caller has its answer a moment before the connection to the server
-    # is back in its pool.
-    while settle and host.admission.running:
+    # The answer arrives shortly before the connection to the server is returned to
+    # its pool.
+    while wait_until_idle and host.admission.running:
         pass
     return answer.status, answer.headers, json.loads(data) if data else None
 
 
 def send_raw(host, data):
-    """Send bytes on one connection and return all that comes back."""
+    """Send bytes on one connection and return all bytes received on it."""
     address = host.http.address.split(":")
     with socket.create_connection((address[0], int(address[1])), timeout=5) as sock:
         sock.sendall(data)
@@ -41,14 +41,16 @@
 
 
 @pytest.mark.parametrize("door", [0, 1])
-def test_request_reaches_the_owner_from_any_door(make_path, door):
-    hosts = make_path(count=2)
+def test_request_reaches_the_owner_through_any_door(start_hosts, door):
+    hosts = start_hosts(count=2)
     body = b"x" * 300_000
-    status, headers, item = call(hosts[door], "PUT", "/pages/rosters/k", body)
+    status, headers, content = send_request(
+        hosts[door], "PUT", "/pages/rosters/k", body
+    )
     assert status == 200
-    assert item["sha256"] == hashlib.sha256(body).hexdigest()
-    assert item["request"] == headers["Guavastream-Request-Id"]
-    assert hosts[0].ran() and not hosts[1].ran()
+    assert content["sha256"] == hashlib.sha256(body).hexdigest()
+    assert content["request"] == headers["Guavastream-Request-Id"]
+    assert hosts[0].executed_requests() and not hosts[1].executed_requests()
 
 
 @pytest.mark.parametrize(
@@ -63,20 +65,22 @@
         ("POST", "/pages/pairings/k", {"Idempotency-Key": "1"}, 400, None),
     ],
 )
-def test_bad_input_is_one_clear_refusal(make_path, method, path, headers, status, code):
-    host = make_path()[0]
-    got, fields, item = call(host, method, path, headers=headers)
+def test_bad_input_is_refused_with_its_own_code(
+    start_hosts, method, path, headers, status, code
+):
+    host = start_hosts()[0]
+    got, fields, content = send_request(host, method, path, headers=headers)
     assert got == status
-    assert item["ran"] == "not run"
-    assert item["code"] == (code or "bad_idempotency_key")
-    assert call(host, "GET", "/pages/rosters/k")[0] == 200
+    assert content["ran"] == "not run"
+    assert content["code"] == (code or "bad_idempotency_key")
+    assert send_request(host, "GET", "/pages/rosters/k")[0] == 200
 
 
-HALF_UPLOAD = (
+INCOMPLETE_UPLOAD = (
     b"PUT /pages/rosters/k HTTP/1.1\r\nHost: x\r\n"
     b"Content-Length: 200000\r\n\r\n" + b"x" * 100_000
 )
-SMUGGLED = {
+AMBIGUOUS_REQUESTS = {
     "two lengths": b"Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
     "length and chunks": (
         b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
@@ -90,37 +94,37 @@
 }
 
 
-@pytest.mark.parametrize("name", SMUGGLED)
-def test_smuggling_forms_are_refused(make_path, name):
-    """A request that two servers could read in two ways.
+@pytest.mark.parametrize("name", AMBIGUOUS_REQUESTS)
+def test_request_smuggling_is_refused(start_hosts, name):
+    """The end of the request is ambiguous, so two servers may disagree on it.
 
-    What one takes for its body the other takes for the next caller's
-    request; nothing of it may reach the backend server.
+    One would read bytes as part of the body that the other reads as the next
+    request. No part of such a request may reach the backend server.
     """
-    host = make_path()[0]
+    host = start_hosts()[0]
     head = b"POST /pages/pairings/k HTTP/1.1\r\nHost: x\r\n"
-    answer = send_raw(host, head + SMUGGLED[name])
+    answer = send_raw(host, head + AMBIGUOUS_REQUESTS[name])
     assert answer.split()[1] in (b"400", b"413")
-    assert not host.ran()
+    assert not host.executed_requests()
 
 
-def test_other_spelling_of_a_path_does_not_make_it_repeatable(make_path):
-    """A swap whose path is written with escapes or doubled slashes.
+def test_path_with_escapes_or_double_slashes_is_still_not_idempotent(start_hosts):
+    """The path of a swap is written with escapes or double slashes.
 
-    The server understands it as the same request, so it must count as one
-    that may not be sent again.
+    The server treats it as the same request, so it must be classified as not
+    idempotent too and must not be sent again.
     """
-    host = make_path("swaps", proxied=True)[0]
+    host = start_hosts("swaps", proxied=True)[0]
     for path in ("/swaps/%70ost", "/swaps//post"):
         host.proxy.cut_answers_after(0)
-        status, _, item = call(host, "POST", path)
-        assert (status, item["ran"]) == (502, "outcome unknown")
-    assert len(host.ran()) == 2
+        status, _, content = send_request(host, "POST", path)
+        assert (status, content["ran"]) == (502, "outcome unknown")
+    assert len(host.executed_requests()) == 2
 
 
-def test_cut_answer_is_visibly_cut(make_path):
-    """The server's connection breaks in the middle of a long answer."""
-    host = make_path(proxied=True)[0]
+def test_incomplete_answer_does_not_look_complete(start_hosts):
+    """The connection to the server breaks in the middle of a long answer."""
+    host = start_hosts(proxied=True)[0]
     host.proxy.cut_answers_after(100_000)
     connection = http.client.HTTPConnection(host.http.address, timeout=5)
     connection.request("GET", "/pages/rosters/k", headers={"X-Reply-Bytes": "500000"})
@@ -128,155 +132,163 @@
         connection.getresponse().read()
 
 
-def test_idempotent_request_survives_a_silent_connection(make_path):
-    """A pooled connection to the server has gone silent for good.
+def test_idempotent_request_survives_a_silent_connection(start_hosts):
+    """A pooled connection to the server stops delivering data.
 
-    Nothing is refused; the request is lost on it. It may repeat, so it is
-    answered over a new connection before its deadline.
+    The request is lost on it without an error. As it is idempotent, it must be
+    sent again on a new connection and answered before its deadline.
     """
-    host = make_path(proxied=True)[0]
-    assert call(host, "GET", "/pages/rosters/k")[0] == 200
+    host = start_hosts(proxied=True)[0]
+    assert send_request(host, "GET", "/pages/rosters/k")[0] == 200
     host.proxy.silence()
-    status, _, item = call(host, "GET", "/pages/rosters/k")
-    assert (status, item["service"]) == (200, "pages")
+    status, _, content = send_request(host, "GET", "/pages/rosters/k")
+    assert (status, content["service"]) == (200, "pages")
     assert host.proxy.connections >= 2
 
 
-def test_swap_on_a_silent_connection_ends_in_time_and_is_not_repeated(make_path):
-    """The same for a swap: whether it ran is not known, so it is said so."""
-    host = make_path("swaps", proxied=True)[0]
+def test_swap_on_a_silent_connection_fails_in_time_and_is_not_repeated(start_hosts):
+    """It is not known whether the swap ran, so it is reported as unknown."""
+    host = start_hosts("swaps", proxied=True)[0]
     host.proxy.silence_at_once()
-    status, _, item = call(host, "POST", "/swaps/b")
-    assert (status, item["ran"]) == (504, "outcome unknown")
-    assert not host.ran()
+    status, _, content = send_request(host, "POST", "/swaps/b")
+    assert (status, content["ran"]) == (504, "outcome unknown")
+    assert not host.executed_requests()
 
 
-def test_lost_answer_is_not_turned_into_not_run_by_a_later_attempt(make_path):
-    """A page runs and its answer is lost; the retry finds the server gone.
+def test_lost_answer_is_not_reported_as_not_run_after_a_later_attempt(start_hosts):
+    """The request runs, its answer is lost, and the retry cannot connect.
 
-    The last attempt was not even sent, but the first one ran: "not run"
-    would be a lie.
+    The last attempt was not sent, but the first one ran, so "not run" would
+    be wrong.
     """
-    host = make_path(proxied=True)[0]
+    host = start_hosts(proxied=True)[0]
     host.proxy.accept_only(1)
     host.proxy.cut_answers_after(0)
-    status, _, item = call(host, "GET", "/pages/rosters/k")
-    assert (status, item["ran"]) == (502, "outcome unknown")
-    assert len(host.ran()) == 1
+    status, _, content = send_request(host, "GET", "/pages/rosters/k")
+    assert (status, content["ran"]) == (502, "outcome unknown")
+    assert len(host.executed_requests()) == 1
 
 
-def test_failing_connection_before_sending_is_not_run(make_path):
-    """The server is gone; nothing could be sent, so it truly did not run."""
-    host = make_path("swaps")[0]
+def test_failure_to_connect_is_reported_as_not_run(start_hosts):
+    """The server has stopped, so the request cannot be sent and does not run."""
+    host = start_hosts("swaps")[0]
     host.server.stop_serving()
-    status, _, item = call(host, "POST", "/swaps/a")
-    assert (status, item["ran"]) == (503, "not run")
-    assert item["code"] == "unreachable"
+    status, _, content = send_request(host, "POST", "/swaps/a")
+    assert (status, content["ran"]) == (503, "not run")
+    assert content["code"] == "unreachable"
 
 
-def test_lost_lease_refuses_and_waits_for_nobody(make_path):
-    host = make_path()[0]
+def test_request_without_a_lease_is_refused_as_not_run(start_hosts):
+    host = start_hosts()[0]
     host.membership.lease.drop()
-    status, headers, item = call(
+    status, headers, content = send_request(
         host, "GET", "/pages/rosters/k", headers={"Guavastream-Deadline-Ms": "100"}
     )
-    assert (status, item["ran"]) == (503, "not run")
+    assert (status, content["ran"]) == (503, "not run")
     assert headers["Retry-After"]
 
 
-def make_id():
-    """Return a UUIDv7 of this moment."""
-    moment = int(time.time() * 1000) << 80
-    low = uuid.uuid4().int & ((1 << 80) - 1)
-    low = low & ~(0xF << 76) | (7 << 76)
-    low = low & ~(0x3 << 62) | (0x2 << 62)
-    return str(uuid.UUID(int=moment | low))
+def make_uuid7():
+    """Return a UUIDv7 with the current time."""
+    timestamp = int(time.time() * 1000) << 80
+    random_bits = uuid.uuid4().int & ((1 << 80) - 1)
+    random_bits = random_bits & ~(0xF << 76) | (7 << 76)
+    random_bits = random_bits & ~(0x3 << 62) | (0x2 << 62)
+    return str(uuid.UUID(int=timestamp | random_bits))
 
 
 @pytest.mark.parametrize("door", [0, 1])
-def test_resent_swap_gets_its_first_answer(make_path, door):
-    """A caller lost the answer and resends, perhaps through another process."""
-    hosts = make_path("swaps", count=2)
-    headers = {"Idempotency-Key": make_id()}
-    first = call(hosts[0], "POST", "/swaps/a", b"one", headers)
-    again = call(hosts[door], "POST", "/swaps/a", b"one", headers)
+def test_resent_swap_gets_its_first_answer(start_hosts, door):
+    """A caller loses the answer and resends the swap, also through another door."""
+    hosts = start_hosts("swaps", count=2)
+    headers = {"Idempotency-Key": make_uuid7()}
+    first = send_request(hosts[0], "POST", "/swaps/a", b"one", headers)
+    again = send_request(hosts[door], "POST", "/swaps/a", b"one", headers)
     assert first[0] == again[0] == 200
     assert first[2] == again[2]
-    assert len(hosts[0].ran() + hosts[1].ran()) == 1
+    assert len(hosts[0].executed_requests() + hosts[1].executed_requests()) == 1
 
 
-def test_resent_swap_while_the_first_still_runs(make_path):
-    host = make_path("swaps")[0]
-    headers = {"Idempotency-Key": make_id()}
+def test_resent_swap_is_refused_while_the_first_one_runs(start_hosts):
+    host = start_hosts("swaps")[0]
+    headers = {"Idempotency-Key": make_uuid7()}
     host.server.behave(Behaviour(silent=True))
-    first = threading.Thread(target=call, args=(host, "POST", "/swaps/a", b"", headers))
+    first = threading.Thread(
+        target=send_request, args=(host, "POST", "/swaps/a", b"", headers)
+    )
     first.start()
     while not host.server.running:
         pass
-    status, _, item = call(host, "POST", "/swaps/a", b"", headers, settle=False)
-    assert (status, item["code"]) == (409, "still_running")
+    status, _, content = send_request(
+        host, "POST", "/swaps/a", b"", headers, wait_until_idle=False
+    )
+    assert (status, content["code"]) == (409, "still_running")
     host.server.behave(Behaviour())
     first.join()
-    assert call(host, "POST", "/swaps/a", b"", headers)[0] == 200
-    assert len(host.ran()) == 1
+    assert send_request(host, "POST", "/swaps/a", b"", headers)[0] == 200
+    assert len(host.executed_requests()) == 1
 
 
-def test_resend_refused_on_its_way_does_not_say_not_run(make_path):
-    """A swap ran and its answer was lost; the resend finds no owner.
+def test_resend_that_finds_no_owner_is_not_reported_as_not_run(start_hosts):
+    """A swap runs and its answer is lost; the resend finds no owner.
 
-    Told "not run", the caller would post the swap anew under another id. A
-    first sending that the owner itself refuses is told so.
+    After "not run" the caller would post the swap again under another id, and
+    it would run twice. A first request that the owner itself refuses is still
+    reported as not run.
     """
-    host = make_path("swaps")[0]
-    headers = {"Idempotency-Key": make_id(), "Guavastream-Deadline-Ms": "100"}
-    assert call(host, "POST", "/swaps/a", b"", headers)[0] == 200
+    host = start_hosts("swaps")[0]
+    headers = {"Idempotency-Key": make_uuid7(), "Guavastream-Deadline-Ms": "100"}
+    assert send_request(host, "POST", "/swaps/a", b"", headers)[0] == 200
     host.membership.lease.drop()
-    status, _, item = call(host, "POST", "/swaps/a", b"", headers)
-    assert (status, item["code"]) == (503, "no_lease")
-    assert item["ran"] == "outcome unknown"
+    status, _, content = send_request(host, "POST", "/swaps/a", b"", headers)
+    assert (status, content["code"]) == (503, "no_lease")
+    assert content["ran"] == "outcome unknown"
     host.membership.lease.extend(time.monotonic() + 60)
     host.server.stop_serving()
-    fresh = {"Idempotency-Key": make_id()}
-    assert call(host, "POST", "/swaps/b", b"", fresh)[2]["ran"] == "not run"
+    fresh = {"Idempotency-Key": make_uuid7()}
+    assert send_request(host, "POST", "/swaps/b", b"", fresh)[2]["ran"] == "not run"
 
 
-def test_resent_swap_after_its_owner_was_lost_is_unknown(make_path):
-    """The new owner has no table of outcomes; the id is older than its grant."""
-    hosts = make_path("swaps", count=2)
-    headers = {"Idempotency-Key": make_id()}
-    assert call(hosts[0], "POST", "/swaps/a", b"", headers)[0] == 200
+def test_resent_swap_after_loss_of_its_owner_is_unknown(start_hosts):
+    """The new owner has no recorded outcomes, and the id is older than its grant."""
+    hosts = start_hosts("swaps", count=2)
+    headers = {"Idempotency-Key": make_uuid7()}
+    assert send_request(hosts[0], "POST", "/swaps/a", b"", headers)[0] == 200
     for shard in range(4):
         hosts[1].outcomes.note_granted("swaps", shard, handover_digests=None)
     tables = hosts[0].tables
     tables.replace(make_table(hosts, index=2, owner=2))
-    status, _, item = call(hosts[0], "POST", "/swaps/a", b"", headers)
-    assert (status, item["code"]) == (409, "earlier_unknown")
-    assert item["ran"] == "outcome unknown"
-    assert not hosts[1].ran()
+    status, _, content = send_request(hosts[0], "POST", "/swaps/a", b"", headers)
+    assert (status, content["code"]) == (409, "earlier_unknown")
+    assert content["ran"] == "outcome unknown"
+    assert not hosts[1].executed_requests()
 
 
-def test_resent_swap_after_a_planned_move_is_unknown_and_a_new_one_runs(make_path):
-    """The owner before hands over the digests of its latest operations."""
-    hosts = make_path("swaps", count=2)
-    old = {"Idempotency-Key": make_id()}
-    assert call(hosts[0], "POST", "/swaps/a", b"", old)[0] == 200
+def test_after_a_planned_move_a_resent_swap_is_unknown_and_a_new_one_runs(start_hosts):
+    """The previous owner hands over the digests of its latest operations."""
+    hosts = start_hosts("swaps", count=2)
+    previous = {"Idempotency-Key": make_uuid7()}
+    assert send_request(hosts[0], "POST", "/swaps/a", b"", previous)[0] == 200
     handover_digests = hosts[0].outcomes.recent_digests("swaps", {0, 1, 2, 3})
-    new = {"Idempotency-Key": make_id()}
+    new = {"Idempotency-Key": make_uuid7()}
     for shard in range(4):
         hosts[1].outcomes.note_granted(
             "swaps", shard, handover_digests=handover_digests
         )
     hosts[0].tables.replace(make_table(hosts, index=2, owner=2))
-    assert call(hosts[0], "POST", "/swaps/a", b"", old)[2]["code"] == "earlier_unknown"
-    assert call(hosts[0], "POST", "/swaps/a", b"", new)[0] == 200
+    assert (
+        send_request(hosts[0], "POST", "/swaps/a", b"", previous)[2]["code"]
+        == "earlier_unknown"
+    )
+    assert send_request(hosts[0], "POST", "/swaps/a", b"", new)[0] == 200
 
 
-def test_stale_door_asks_again_once_it_knows_the_owner(make_path):
-    """A door has an older table; the owner before refuses as not run.
+def test_door_with_a_stale_table_retries_at_the_new_owner(start_hosts):
+    """A door has an old table, and the previous owner refuses as not run.
 
-    The door waits for its next table and sends the request to the new owner.
+    The door waits for a newer table and sends the request to the new owner.
     """
-    hosts = make_path(count=2)
+    hosts = start_hosts(count=2)
     tables = hosts[0].tables
     stale = ShardTableHolder()
     stale.replace(tables.table)
@@ -285,14 +297,14 @@
     thread = threading.Timer(0, lambda: stale.replace(tables.table))
     hosts[0].admission._tables = tables
     thread.start()
-    assert call(hosts[0], "GET", "/pages/rosters/k")[0] == 200
+    assert send_request(hosts[0], "GET", "/pages/rosters/k")[0] == 200
     thread.join()
-    assert hosts[1].ran() and not hosts[0].ran()
+    assert hosts[1].executed_requests() and not hosts[0].executed_requests()
 
 
-def test_head_and_expect_continue_follow_the_protocol(make_path):
-    host = make_path()[0]
-    assert call(host, "HEAD", "/pages/rosters/k")[0] == 200
+def test_head_and_expect_continue_follow_http(start_hosts):
+    host = start_hosts()[0]
+    assert send_request(host, "HEAD", "/pages/rosters/k")[0] == 200
     head = (
         b"PUT /pages/rosters/k HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\n"
         b"Content-Length: 3\r\nConnection: close\r\n\r\nabc"
@@ -301,69 +313,71 @@
     assert answer.startswith(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200")
 
 
-def test_chunked_body_reaches_the_server_whole(make_path):
-    host = make_path()[0]
+def test_chunked_body_reaches_the_server_complete(start_hosts):
+    host = start_hosts()[0]
     parts = [b"a" * 70_000, b"b" * 5]
     connection = http.client.HTTPConnection(host.http.address, timeout=5)
     connection.request("PUT", "/pages/rosters/k", body=iter(parts), encode_chunked=True)
-    item = json.loads(connection.getresponse().read())
-    assert item["sha256"] == hashlib.sha256(b"".join(parts)).hexdigest()
+    content = json.loads(connection.getresponse().read())
+    assert content["sha256"] == hashlib.sha256(b"".join(parts)).hexdigest()
 
 
-def test_caller_that_goes_away_in_its_upload_ends_the_run(make_path):
-    """Half a bundle must not reach the server as a whole one."""
-    host = make_path()[0]
+def test_caller_that_disconnects_during_its_upload_ends_the_attempt(start_hosts):
+    """An incomplete upload must not reach the server as a complete request."""
+    host = start_hosts()[0]
     address = host.http.address.split(":")
     with socket.create_connection((address[0], int(address[1]))) as sock:
-        sock.sendall(HALF_UPLOAD)
+        sock.sendall(INCOMPLETE_UPLOAD)
         while not host.admission.running:
             pass
     while host.admission.running:
         pass
-    assert not host.ran()
+    assert not host.executed_requests()
 
 
-def test_upload_that_falls_silent_ends(make_path):
-    """A caller stops in the middle of its upload and keeps the connection.
+def test_stalled_upload_ends(start_hosts):
+    """A caller stops in the middle of its upload and keeps its connection open.
 
-    It must not hold a slot for ever, nor reach the server as a whole bundle.
+    The upload must not hold a slot forever, nor reach the server as a complete
+    request.
     """
-    host = make_path()[0]
+    host = start_hosts()[0]
     address = host.http.address.split(":")
     with socket.create_connection((address[0], int(address[1]))) as sock:
-        sock.sendall(HALF_UPLOAD)
+        sock.sendall(INCOMPLETE_UPLOAD)
         while sock.recv(65536):
             pass
     assert not host.admission.running
-    assert not host.ran()
+    assert not host.executed_requests()
 
 
-def test_frozen_server_that_answers_everything_at_once_harms_nobody(make_path):
-    """A server freezes with swaps in hand, comes back and answers them all.
+def test_late_answers_of_a_frozen_server_reach_no_other_caller(start_hosts):
+    """A server freezes while it runs swaps, resumes, and answers them all.
 
-    Their callers have long been told that the outcome is unknown; the next
-    caller must get its own answer and no other.
+    Their callers have already been told that the outcome is unknown. The next
+    caller must get the answer to its own request.
     """
-    host = make_path("swaps")[0]
+    host = start_hosts("swaps")[0]
     host.server.behave(Behaviour(silent=True))
     for number in range(2):
-        status, _, item = call(host, "POST", f"/swaps/{number}")
-        assert (status, item["ran"]) == (504, "outcome unknown")
+        status, _, content = send_request(host, "POST", f"/swaps/{number}")
+        assert (status, content["ran"]) == (504, "outcome unknown")
     host.server.behave(Behaviour())
     for _ in range(3):
-        status, headers, item = call(host, "POST", "/swaps/own")
+        status, headers, content = send_request(host, "POST", "/swaps/own")
         assert status == 200
-        assert item["request"] == headers["Guavastream-Request-Id"]
+        assert content["request"] == headers["Guavastream-Request-Id"]
 
 
 @pytest.mark.parametrize("door", [0, 1])
-def test_caller_that_gives_up_frees_its_slot(make_path, door):
-    """A caller closes its connection while the server is at work.
+def test_caller_that_gives_up_frees_its_slot(start_hosts, door):
+    """A caller closes its connection while the server handles its request.
 
-    Its slot is free at once, also through a second process, and not only at
-    the deadline: callers that give up resend.
+    Its slot must be freed at once and not only at the deadline, also if the
+    request came through a second door. Callers that give up resend, and each
+    resend would need another slot.
     """
-    hosts = make_path(count=2)
+    hosts = start_hosts(count=2)
     hosts[0].server.behave(Behaviour(silent=True))
     address = hosts[door].http.address.split(":")
     with socket.create_connection((address[0], int(address[1]))) as sock:
@@ -372,15 +386,15 @@
             pass
     while hosts[0].admission.running:
         pass
-    while not (told := [f for kind, f in hosts[door].events if kind == "answered"]):
+    while not (answered := [f for kind, f in hosts[door].events if kind == "answered"]):
         pass
-    assert told[0]["detail"]["code"] == "caller_gone"
+    assert answered[0]["detail"]["code"] == "caller_gone"
 
 
-def test_answer_to_another_request_is_dropped(make_path):
-    """The server answers with the id of another request: crossed or late."""
-    host = make_path("swaps")[0]
+def test_answer_to_another_request_is_discarded(start_hosts):
+    """The answer has the id of another request: it was mixed up or came late."""
+    host = start_hosts("swaps")[0]
     host.server.behave(Behaviour(echo="other"))
-    status, _, item = call(host, "POST", "/swaps/a")
-    assert (status, item["code"]) == (502, "wrong_answer")
-    assert item["ran"] == "outcome unknown"
+    status, _, content = send_request(host, "POST", "/swaps/a")
+    assert (status, content["code"]) == (502, "wrong_answer")
+    assert content["ran"] == "outcome unknown"
