--- a/guavastream/commands/experiment.py
+++ b/guavastream/commands/experiment.py
@@ -93,7 +93,7 @@
     if arguments.lines:
         with open(arguments.lines, "w", encoding="utf-8") as file:
             for result in itertools.chain(*results.values()):
-                file.write(json.dumps(result.line(scenario)) + "\n")
+                file.write(json.dumps(result.to_dict(scenario)) + "\n")
     if getattr(arguments, "plot", None):
         from guavastream.experiment.plot import plot_series
 
@@ -103,7 +103,7 @@
 
 
 def _print(results, scenario):
-    from guavastream.experiment.compare import difference
+    from guavastream.experiment.compare import paired_difference
 
     print(f"{scenario.name}; worth is in time, and late by its part, of all asked")
     base = None
@@ -115,9 +115,9 @@
         if base is None:
             base, change = worths, ""
         else:
-            change = difference(base, worths)
-            mark = "" if change.is_clear else " (noise)"
-            change = f"{change.mean:+.3f} ± {change.half:.3f}{mark}"
+            change = paired_difference(base, worths)
+            mark = "" if change.is_significant else " (noise)"
+            change = f"{change.mean:+.3f} ± {change.half_width:.3f}{mark}"
         row.append(change)
         row += [_shares(found, kind.name) for kind in kinds]
         rows.append(row)
--- a/guavastream/experiment/__init__.py
+++ b/guavastream/experiment/__init__.py
@@ -1,5 +1,5 @@
-"""A model of a deployment in virtual time, and experiments on it.
+"""Simulates a deployment in virtual time to compare policies.
 
-The modules are imported one by one: what plots and draws random numbers is an
-extra that no process of a deployment needs.
+This package imports none of its modules. Some need the optional dependencies of
+`guavastream[experiment]`, which the processes of a deployment do without.
 """
--- a/guavastream/experiment/plot.py
+++ b/guavastream/experiment/plot.py
@@ -1,4 +1,4 @@
-"""Pictures of a run: what callers got over time."""
+"""Plots the outcomes of requests over time."""
 
 import matplotlib
 
@@ -6,20 +6,24 @@
 
 matplotlib.use("Agg")
 
-COLOURS = {"in time": "#2a7f62", "late": "#e0a030", "refused or failed": "#b03a2e"}
+OUTCOME_COLOURS = {
+    "in time": "#2a7f62",
+    "late": "#e0a030",
+    "refused or failed": "#b03a2e",
+}
 
 
 def plot_series(results, scenario, path):
-    """Draw requests served, late and refused over time, a panel for each kind.
+    """Plot request rates by outcome over time, with one panel for each kind.
 
     Parameters
     ----------
     results : list of Result
-        Runs of one policy; their mean is drawn.
+        Runs of one policy, whose mean is plotted.
     scenario : Scenario
-        What was played.
+        The simulated scenario, whose faults are shaded.
     path : str
-        File; its ending says whether it is a PNG or an SVG.
+        Output file; its extension selects the format, PNG or SVG.
     """
     from matplotlib import pyplot
 
@@ -28,8 +32,10 @@
         len(kinds), 1, sharex=True, squeeze=False, figsize=(9, 2.4 * len(kinds))
     )
     for kind, panel in zip(kinds, panels[:, 0], strict=True):
-        times, bands = _mean_series(results, kind.name)
-        panel.stackplot(times, *bands, labels=COLOURS, colors=COLOURS.values())
+        times, rates = _mean_series(results, kind.name)
+        panel.stackplot(
+            times, *rates, labels=OUTCOME_COLOURS, colors=OUTCOME_COLOURS.values()
+        )
         panel.set_ylabel(f"{kind.name}\nrequests/s")
         for fault in scenario.faults:
             panel.axvspan(fault.at, fault.at + fault.seconds, alpha=0.12, color="gray")
@@ -42,11 +48,12 @@
 
 
 def _mean_series(results, kind):
+    """Return times and, for each outcome, the mean rates over all results."""
     sums = {}
     for result in results:
-        for time, *values in result.series(kind):
-            found = sums.setdefault(time, [0.0] * len(values))
+        for time, *values in result.rate_series(kind):
+            sums_at_time = sums.setdefault(time, [0.0] * len(values))
             for number, value in enumerate(values):
-                found[number] += value / len(results)
+                sums_at_time[number] += value / len(results)
     times = sorted(sums)
     return times, list(zip(*(sums[time] for time in times), strict=True))
--- a/guavastream/experiment/run.py
+++ b/guavastream/experiment/run.py
@@ -1,4 +1,4 @@
-"""Runs of a scenario over many seeds, in processes of their own."""
+"""Runs a scenario over many seeds in parallel processes."""
 
 import asyncio
 from concurrent.futures import ProcessPoolExecutor
@@ -10,13 +10,13 @@
 
 __all__ = ["Result", "run_seeds"]
 
-# Processes that play at a time, where nothing else is asked for.
-JOBS = 4
+# Default number of parallel processes.
+DEFAULT_JOBS = 4
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Result:
-    """What became of one seed of a scenario under one policy."""
+    """Outcomes of a scenario under one policy with one seed."""
 
     scenario: str
     policy: str
@@ -24,16 +24,16 @@
     tally: Tally
 
     def worth(self, scenario):
-        """Return the share earned of what all callers' requests were worth."""
-        asked = earned = 0.0
+        """Return the earned share of the total worth of the callers' requests."""
+        total = earned = 0.0
         for kind in scenario.kinds:
             counts = self.tally.kinds[kind.name]
-            asked += kind.worth * counts.asked
-            earned += kind.worth * counts.asked * counts.share(kind.late_worth)
-        return earned / asked if asked else 1.0
+            total += kind.worth * counts.asked
+            earned += kind.worth * counts.asked * counts.earned_share(kind.late_worth)
+        return earned / total if total else 1.0
 
-    def line(self, scenario):
-        """Return a dict of plain values, for a line of JSON."""
+    def to_dict(self, scenario):
+        """Return the result as a dict that can be written as JSON."""
         kinds = {}
         for name, counts in self.tally.kinds.items():
             if counts.asked:
@@ -47,16 +47,19 @@
             "seed": self.seed,
             "worth": round(self.worth(scenario), 4),
             "kinds": kinds,
-            "tries": self.tally.tries,
-            "moved": round(self.tally.moved, 3),
+            "tries": self.tally.failed_attempts,
+            "moved": round(self.tally.moved_share, 3),
         }
 
-    def _quantile(self, name, share):
-        times = sorted(self.tally.seconds.get(name, ()))
-        return round(times[int(share * (len(times) - 1))], 4) if times else None
+    def _quantile(self, name, fraction):
+        times = sorted(self.tally.latencies.get(name, ()))
+        return round(times[int(fraction * (len(times) - 1))], 4) if times else None
 
-    def series(self, kind):
-        """Return times, and served, late and refused requests a second."""
+    def rate_series(self, kind):
+        """Return rows of time and requests per second by outcome, for one kind.
+
+        The outcomes are: in time, late, and refused or failed.
+        """
         rows = []
         for (name, bucket), counts in sorted(self.tally.buckets.items()):
             if name == kind:
@@ -71,7 +74,7 @@
         return rows
 
 
-def _play(scenario, policy, text, seed):
+def _run_seed(scenario, policy, text, seed):
     async def main():
         return await Model(scenario=scenario, seed=seed, policy=policy).run()
 
@@ -80,36 +83,38 @@
     return Result(scenario=scenario.name, policy=text, seed=seed, tally=tally)
 
 
-def run_seeds(scenario, policies, seeds, *, jobs=JOBS, on_done=lambda: None):
-    """Play a scenario for each policy and seed.
+def run_seeds(scenario, policies, seeds, *, jobs=DEFAULT_JOBS, on_done=lambda: None):
+    """Simulate a scenario with each policy and seed.
 
     Parameters
     ----------
     scenario : Scenario
-        What is played.
+        The scenario to simulate.
     policies : dict of str to Policy
-        Policies by the text that names them.
+        Policies by their text form.
     seeds : iterable of int
-        Seeds; each policy meets the same ones.
+        Seeds, the same for each policy.
     jobs : int
-        Processes that play at a time.
+        Number of parallel processes.
     on_done : callable
-        Called after each run.
+        Called without arguments after each run.
 
     Returns
     -------
     dict of str to list of Result
-        In the order of the seeds.
+        Results by policy text, in the order of the seeds.
     """
     seeds = list(seeds)
-    found = {text: [] for text in policies}
+    results = {text: [] for text in policies}
     with ProcessPoolExecutor(max_workers=jobs) as pool:
         futures = {
-            text: [pool.submit(_play, scenario, policy, text, seed) for seed in seeds]
+            text: [
+                pool.submit(_run_seed, scenario, policy, text, seed) for seed in seeds
+            ]
             for text, policy in policies.items()
         }
-        for text, items in futures.items():
-            for future in items:
-                found[text].append(future.result())
+        for text, policy_futures in futures.items():
+            for future in policy_futures:
+                results[text].append(future.result())
                 on_done()
-    return found
+    return results
--- a/guavastream/experiment/scenario.py
+++ b/guavastream/experiment/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios: services, callers and faults, read from TOML with all findings."""
+"""Defines scenarios of services, callers and faults, and reads them from TOML."""
 
 import dataclasses
 import tomllib
@@ -9,27 +9,36 @@
 
 from guavastream.exception import Finding, FindingsError
 
-__all__ = ["Calls", "Fault", "Kind", "Scenario", "Service", "load_scenario", "shipped"]
+__all__ = [
+    "Calls",
+    "Fault",
+    "RequestKind",
+    "Scenario",
+    "Service",
+    "load_scenario",
+    "shipped_scenarios",
+]
 
-FAULTS = ("hot key", "burst", "slow", "shed", "dark", "crash", "leave")
+FAULT_TYPES = ("hot key", "burst", "slow", "shed", "dark", "crash", "leave")
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Service:
-    """Backend servers of one trade.
+    """The backend servers of one service.
 
     Parameters
     ----------
     name : str
         Unique name.
     speeds : tuple of float
-        Speeds of servers, in turn; 1 does work in its stated time.
+        Relative speeds of the servers, repeated if there are more servers. A server
+        of speed 1 processes a request in the time that its kind states.
     count : int
-        Number of servers; 0 is one for each speed.
+        Number of servers; 0 means one for each speed.
     slots : int
-        Requests that a server runs at a time.
+        Number of requests that a server runs concurrently.
     keyed : bool
-        Whether the servers own keys.
+        Whether each key is owned by exactly one server.
     """
 
     name: str
@@ -39,20 +48,20 @@
     keyed: bool = False
 
     @property
-    def size(self):
+    def server_count(self):
         """Number of servers."""
         return self.count or len(self.speeds)
 
     def speed(self, number):
-        """Return the speed of a server."""
+        """Return the relative speed of the server with this number."""
         return self.speeds[number % len(self.speeds)]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Calls:
-    """Requests that a server makes while it runs one.
+    """Calls that a server makes to other servers while it runs a request.
 
-    `share` of the requests make `times` of them, one after the other.
+    A `share` of the requests make `times` calls of `kind`, one after the other.
     """
 
     kind: str
@@ -61,34 +70,37 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Kind:
-    """Requests of one kind; times are in seconds.
+class RequestKind:
+    """A kind of request; times are in seconds.
 
     Parameters
     ----------
     name, service : str
-        Its name, and the service that runs it.
+        Unique name, and the service that processes these requests.
     rate : float
-        Requests a second of all callers; 0 for those that only servers make.
+        Requests per second of all callers together; 0 if only servers make them.
     work, spread : float
-        Median time at a server of speed 1, and the sigma of its logarithm.
+        Median processing time at a server of speed 1, and the standard deviation of
+        its logarithm.
     target, deadline, timeout : float
-        Times within which an answer is worth all, and until when its caller
-        waits, over all tries and for one.
+        Time within which an answer has its full worth, time that the caller waits
+        over all attempts, and time that it waits for one attempt.
     worth, late_worth : float
-        What an answer in time is worth, and which part of it a late one.
+        Worth of an answer within the target, and the fraction of it that a later
+        answer has.
     impatience : float
-        Callers wait for up to this share less than `deadline`.
+        Largest fraction of `deadline` by which a caller waits less; each caller draws
+        its own.
     retries : int
-        Times that a caller comes back.
+        Number of retries of a caller.
     rank : int
-        The lowest is the most urgent.
+        Priority; the lowest rank is the most urgent.
     idempotent : bool
-        Whether it may run more than once.
+        Whether a request may run more than once.
     skew : float
-        Exponent of the popularity of keys.
+        Exponent of the Zipf distribution of requests over keys; 0 is uniform.
     calls : tuple of Calls
-        What its servers ask for in turn.
+        Calls that the servers make while they run such a request, in this order.
     """
 
     name: str
@@ -111,22 +123,25 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Fault:
-    """Trouble from `at` on, for some seconds.
+    """A fault or a change of load that lasts for some time.
 
     Parameters
     ----------
     what : str
-        "hot key": one key gets `share` of the requests of `kind`; "burst":
-        callers of `kind`, or all, ask `factor` times as often; "slow": a server
-        takes `factor` times as long; "shed": servers refuse `share` of what
-        comes; "dark": a server answers nothing; "crash": it ends, and is back
-        afterwards; "leave": it says that it leaves.
+        "hot key": one key gets a `share` of the requests of `kind`; "burst": the
+        request rate of `kind`, or of all kinds, is multiplied by `factor`; "slow":
+        processing times are multiplied by `factor`; "shed": servers refuse a `share`
+        of the requests; "dark": servers do not answer; "crash": servers crash, and
+        restart after `seconds`; "leave": servers announce that they leave, and
+        restart after `seconds`.
     at, seconds : float
-        Begin and length.
+        Start and duration in seconds of virtual time.
     kind, service : str
-        What it concerns.
+        Kind of request or service that is affected.
     server : int
-        Place of the server in its service; -1 is all of them.
+        Number of the server in its service, from 0; -1 means all servers.
+    share, factor : float
+        Fraction of the requests, and multiplier, where `what` uses them.
     """
 
     what: str
@@ -141,25 +156,29 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Scenario:
-    """A deployment, its callers, and what befalls it.
+    """A deployment, its callers and its faults; times are in seconds.
 
     Parameters
     ----------
     name : str
-        What it shows.
+        Title for reports and plots.
     seconds, counted_from : float
-        Length, and the moment from which requests count.
+        Duration, and the time from which requests are counted. Earlier ones belong to
+        the warm-up.
     zones : int
-        Availability zones; hosts are spread over them in turn.
+        Number of availability zones; hosts are assigned to them round robin.
     in_zone, cross_zone, to_callers : float
-        Delays one way.
+        One-way network delays between hosts of one zone, between hosts of different
+        zones, and between callers and hosts.
+    services, kinds, faults : tuple
+        Services, kinds of requests and faults.
     report : float
-        Seconds between two reports of requests by key.
+        Interval of the reports of request counts by key.
     """
 
     name: str
     services: tuple[Service, ...]
-    kinds: tuple[Kind, ...]
+    kinds: tuple[RequestKind, ...]
     faults: tuple[Fault, ...] = ()
     seconds: float = 20.0
     counted_from: float = 3.0
@@ -170,12 +189,12 @@
     report: float = 0.25
 
     def kind(self, name):
-        """Return the kind of a name."""
+        """Return the kind of request with this name."""
         return next(kind for kind in self.kinds if kind.name == name)
 
 
-def shipped():
-    """Return the names of the scenarios that come with the program."""
+def shipped_scenarios():
+    """Return the sorted names of the scenarios that are part of the package."""
     folder = resources.files("guavastream.experiment") / "scenarios"
     return sorted(
         path.name.removesuffix(".toml")
@@ -185,101 +204,114 @@
 
 
 def load_scenario(name):
-    """Return the scenario of a file, or of a shipped one's name.
+    """Load a scenario from a file, or a shipped scenario by its name.
 
     Raises
     ------
     FindingsError
-        With everything that is wrong with it.
+        With all errors of the scenario.
     """
     path = Path(name)
-    if name in shipped():
+    if name in shipped_scenarios():
         path = resources.files("guavastream.experiment") / "scenarios" / f"{name}.toml"
     try:
         raw = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        known = ", ".join(shipped())
-        text = f"Cannot be read ({error}); shipped ones are {known}."
-        found = Finding(place=str(name), code="unreadable", text=text)
-        raise FindingsError([found]) from error
+        known = ", ".join(shipped_scenarios())
+        text = f"Cannot be read ({error}); shipped scenarios are {known}."
+        finding = Finding(place=str(name), code="unreadable", text=text)
+        raise FindingsError([finding]) from error
     findings = []
-    scenario = _build(Scenario, raw, str(name), findings)
+    scenario = _parse_table(Scenario, raw, str(name), findings)
     if not findings:
-        _check(scenario, findings)
+        _check_consistency(scenario, findings)
     if findings:
         raise FindingsError(findings)
     return scenario
 
 
-def _build(cls, raw, place, findings):
-    """Return an object of a data class from a table, and note what is wrong."""
+def _parse_table(cls, raw, place, findings):
+    """Convert a TOML table to a data class; add errors to `findings`."""
 
-    def note(where, text):
+    def add_finding(where, text):
         findings.append(Finding(place=where, code="bad_value", text=text))
 
     if not isinstance(raw, dict):
-        note(place, "Must be a table.")
+        add_finding(place, "Must be a table.")
         return None
     types = typing.get_type_hints(cls)
     fields = {field.name: field for field in dataclasses.fields(cls)}
     values = {}
     for name in raw.keys() - fields.keys():
-        note(f"{place}.{name}", f"Is not known; known are {', '.join(fields)}.")
+        add_finding(
+            f"{place}.{name}", f"Unknown field; known fields are {', '.join(fields)}."
+        )
     for name, field in fields.items():
         where = f"{place}.{name}"
         if name in raw:
-            values[name] = _value(types[name], raw[name], where, findings, note)
+            values[name] = _parse_value(
+                types[name], raw[name], where, findings, add_finding
+            )
         elif field.default is dataclasses.MISSING:
-            note(where, "Is required.")
+            add_finding(where, "Is required.")
     return None if findings else cls(**values)
 
 
-def _value(kind, raw, where, findings, note):
+def _parse_value(kind, raw, where, findings, add_finding):
+    """Convert a TOML value to the type of its field; add errors to `findings`."""
     if typing.get_origin(kind) is tuple:
         inner = typing.get_args(kind)[0]
         if not isinstance(raw, list):
-            note(where, "Must be a list.")
+            add_finding(where, "Must be an array.")
             return ()
         return tuple(
-            _value(inner, item, f"{where}[{number}]", findings, note)
+            _parse_value(inner, item, f"{where}[{number}]", findings, add_finding)
             for number, item in enumerate(raw)
         )
     if dataclasses.is_dataclass(kind):
-        return _build(kind, raw, where, findings)
+        return _parse_table(kind, raw, where, findings)
     if kind is float and isinstance(raw, int) and not isinstance(raw, bool):
         raw = float(raw)
     if not isinstance(raw, kind) or (kind is int and isinstance(raw, bool)):
-        note(where, f"Must be a {kind.__name__}.")
+        add_finding(where, f"Must be of type {kind.__name__}.")
     elif kind in (int, float) and raw < 0 and not where.endswith(".server"):
-        note(where, "Is negative.")
+        add_finding(where, "Must not be negative.")
     return raw
 
 
-def _check(scenario, findings):
-    """Note names that mean nothing, and values that make no sense together."""
+def _check_consistency(scenario, findings):
+    """Add a finding for each invalid speed or slots and each unknown name."""
 
-    def note(where, text):
+    def add_finding(where, text):
         findings.append(Finding(place=where, code="bad_value", text=text))
 
     services = {service.name: service for service in scenario.services}
     kinds = {kind.name for kind in scenario.kinds}
     for service in scenario.services:
         if not service.speeds or min(service.speeds) <= 0 or service.slots < 1:
-            note(f"services.{service.name}", "Needs servers with speed and slots.")
+            add_finding(
+                f"services.{service.name}",
+                "Speeds and slots must be positive, with at least one speed.",
+            )
     for kind in scenario.kinds:
         where = f"kinds.{kind.name}"
         if kind.service not in services:
-            note(where, f"Service {kind.service!r} is not there.")
+            add_finding(where, f"Service {kind.service!r} does not exist.")
         for calls in kind.calls:
             if calls.kind not in kinds:
-                note(where, f"Calls {calls.kind!r}, which is no kind.")
+                add_finding(where, f"Called kind {calls.kind!r} does not exist.")
     for number, fault in enumerate(scenario.faults):
         where = f"faults[{number}]"
-        if fault.what not in FAULTS:
-            note(where, f"{fault.what!r} is none of {', '.join(FAULTS)}.")
+        if fault.what not in FAULT_TYPES:
+            add_finding(
+                where,
+                f"Unknown fault {fault.what!r}; known are {', '.join(FAULT_TYPES)}.",
+            )
         if fault.kind and fault.kind not in kinds:
-            note(where, f"Kind {fault.kind!r} is not there.")
+            add_finding(where, f"Kind {fault.kind!r} does not exist.")
         if fault.service and fault.service not in services:
-            note(where, f"Service {fault.service!r} is not there.")
-        elif fault.service and fault.server >= services[fault.service].size:
-            note(where, f"Service {fault.service!r} has no server {fault.server}.")
+            add_finding(where, f"Service {fault.service!r} does not exist.")
+        elif fault.service and fault.server >= services[fault.service].server_count:
+            add_finding(
+                where, f"Service {fault.service!r} has no server {fault.server}."
+            )
