--- a/guavastream/experiment/model.py
+++ b/guavastream/experiment/model.py
@@ -18,8 +18,8 @@
 from guavastream.placement import KeyRangeView, plan_key_ranges
 from guavastream.relay import AdmissionQueue, NotRun, Picker, Report, RetryBudget
 from guavastream.relay.ingress import (
-    BOOK_POLL_SECONDS,
     DEFAULT_RETRY_AFTER_SECONDS,
+    FLEET_POLL_SECONDS,
     MAX_REFUSALS,
     MIN_REMAINING_SECONDS,
     MIN_RETRY_AFTER_SECONDS,
@@ -452,9 +452,9 @@
         return all(server.instance.id in tried for server in servers)
 
     async def _wait_for_owner_change(self):
-        """Wait until owners of keys change, at most `BOOK_POLL_SECONDS`."""
+        """Wait until owners of keys change, at most `FLEET_POLL_SECONDS`."""
         try:
-            with TimeLimit.within(BOOK_POLL_SECONDS, loop=self._loop):
+            with TimeLimit.within(FLEET_POLL_SECONDS, loop=self._loop):
                 await self._owners_changed.wait()
         except TimeoutError:
             pass
--- a/guavastream/hosts/server_host.py
+++ b/guavastream/hosts/server_host.py
@@ -153,7 +153,7 @@
         self._guard = Guard(
             loop=self._loop,
             dialect=dialect,
-            books=self._state_holder,
+            fleet_holder=self._state_holder,
             keeper=self._key_manager,
             door=settings.inbound,
             count=self.counters.count,
@@ -165,7 +165,7 @@
         self._ingress = Ingress(
             loop=self._loop,
             dialect=dialect,
-            books=self._state_holder,
+            fleet_holder=self._state_holder,
             routes=lambda: self._route_index,
             guard=self._guard,
             picker=self._picker,
--- a/guavastream/relay/admission.py
+++ b/guavastream/relay/admission.py
@@ -33,12 +33,12 @@
 STANDING_MAX_RESERVE_SHARE = 0.8
 # A queue counts as standing if it has not been empty for this long.
 STANDING_SECONDS = 0.5
-# A queued request may be overtaken only if that leaves it a slack of at least this
-# factor times its estimated time. It was admitted because it could be on time.
+# A queued request may be overtaken only if its slack is then still at least this factor
+# times its estimated time, since it was admitted to be on time.
 MIN_SLACK_FACTOR = 0.3
 # A request that can't meet its target any more is queued behind all that can, for at
-# most this share of the time until its deadline. A burst is over by then; a standing
-# queue is not, so there the share is smaller.
+# most this share of the time until its deadline. A burst is usually over by then. A
+# standing queue lasts longer, so the share is smaller for it.
 MAX_LATE_WAIT_SHARE = 0.12
 STANDING_MAX_LATE_WAIT_SHARE = 0.05
 # Share of a request's estimated time that must be left before its deadline when it
@@ -48,21 +48,21 @@
 # times its estimated time, is refused in favour of the requests behind it.
 LATE_START_FACTOR = 0.3
 # Bounds of the Retry-After advice for requests that can still meet their target on a
-# retry, which goes ahead of new requests. Others are told `LATE_RETRY_SHARE` of the
-# time until their deadline: callers retry only once or twice, and quick retries would
-# be wasted on an overload that lasts a second. Callers wait for at most a third of
-# their remaining time, whatever they are told.
+# retry, which goes ahead of new requests. The others are advised to wait for
+# `LATE_RETRY_SHARE` of the time until their deadline: callers retry only once or twice,
+# and quick retries would be wasted on an overload that lasts a second. Callers never
+# wait for more than a third of their remaining time.
 MIN_RETRY_SECONDS = 0.05
 MAX_RETRY_SECONDS = 0.15
 LATE_RETRY_SHARE = 0.3
 # Bounds of the ratio of actual to predicted waits, and the weight of the newest wait
-# in it. The prediction misses more urgent requests that arrive later and overtake.
+# in it. The prediction does not include more urgent requests that arrive later.
 # Since a wait is known only when it is over, a weight of 0.1 made the ratio oscillate
 # between its bounds twice a second under overload, and the queue length with it.
 MIN_WAIT_RATIO = 0.7
 MAX_WAIT_RATIO = 3.0
 WAIT_RATIO_WEIGHT = 0.02
-# Lower bound of predicted waits in the ratio; shorter ones say nothing about it.
+# Lower bound of predicted waits in the ratio; shorter ones are mostly noise.
 MIN_WAIT_SECONDS = 0.005
 # Requests stop waiting this long before their deadline, so that the answer arrives.
 ANSWER_MARGIN_SECONDS = 0.03
@@ -97,7 +97,7 @@
     deadline: float
 
     def retry_after(self, now, soon):
-        """Return `soon` if a retry can meet the target then, else a longer delay."""
+        """Return `soon` if a retry by then meets the target, else a longer delay."""
         late, _, wanted_by, _ = self.order
         if not late and now + soon + self.estimate <= wanted_by:
             return soon
@@ -121,8 +121,8 @@
     A request is queued only if it is expected to meet its target, and if all requests
     that it would overtake can still meet theirs. This bounds the length of the queue
     under any load. The queue is ordered by rank, then by the time until which an answer
-    has its full value. A retry of a refused request therefore goes first, as long as
-    it can still be on time.
+    has its full value. A retry of a refused request is therefore ahead of newer ones
+    of its rank, as long as it can still be on time.
 
     References
     ----------
@@ -144,7 +144,7 @@
         self._mean = 0.0
         # Moving averages of actual and predicted waits, by kind.
         self._waits = {}
-        # When the queue was last empty, and when the server last answered.
+        # Clock times at which the queue was last empty and the server last answered.
         self._empty_at = self._answered_at = float("-inf")
         self._shares = FairShares(clock=self._clock)
         self.slots = slots
@@ -175,7 +175,7 @@
         seconds = self._kind_means.get(kind, 0.0)
         return max(seconds, self._silence()) if seconds else 0.0
 
-    def usual(self, kind):
+    def estimated_seconds(self, kind):
         """Return the estimated time of a kind of request, in seconds."""
         return self._kind_means.get(kind) or self._mean or DEFAULT_SECONDS
 
@@ -228,7 +228,7 @@
         NotRun
             If there will be no slot in time.
         """
-        estimate = self.usual(kind)
+        estimate = self.estimated_seconds(kind)
         has_slot = self._running < self.slots and not self._queue
         admitted = self._shares.admits(
             kind,
@@ -246,7 +246,7 @@
             now = self._clock()
             if not self._queue:
                 self._empty_at = now
-            waiter = self._waiter(rank, estimate, wanted_by, deadline, call, now)
+            waiter = self._make_waiter(rank, estimate, wanted_by, deadline, call, now)
             if not admitted and self._policy.shares:
                 self._refuse_over_share(waiter, kind, now)
             predicted = self._check_on_time(waiter, kind, now, call)
@@ -265,7 +265,7 @@
         retry_after = waiter.retry_after(now, MAX_RETRY_SECONDS)
         raise NotRun("overloaded", retry_after=retry_after, reasons=reasons)
 
-    def _waiter(self, rank, estimate, wanted_by, deadline, call, now):
+    def _make_waiter(self, rank, estimate, wanted_by, deadline, call, now):
         """Return the queue entry of a request with its latest start times."""
         latest_start = deadline - max(
             ANSWER_MARGIN_SECONDS, estimate * MIN_TIME_LEFT_SHARE
@@ -294,7 +294,9 @@
         )
 
     def _check_on_time(self, waiter, kind, now, call):
-        """Return the predicted wait before its correction, or refuse the request.
+        """Return the uncorrected predicted wait, or refuse the request.
+
+        The check itself uses the prediction times the ratio of `_wait_ratio`.
 
         Raises
         ------
@@ -305,10 +307,10 @@
         mean = ahead = self._running_seconds / max(1, self._running)
         ahead += sum(other.estimate for other in self._queue[:position])
         predicted = ahead / self.slots
-        # An unresponsive server frees no slot. It is expected to stay unresponsive
+        # An unresponsive server frees no slots. It is expected to stay unresponsive
         # for as long again as it has been so far.
         wait = self._wait_ratio(kind) * predicted + max(0.0, self._silence() - mean)
-        spare = 0.0 if call else self._reserve(waiter, now)
+        spare = 0.0 if call else self._time_reserve(waiter, now)
         if not self._policy.refusal:
             return predicted
         fits = now + wait + spare <= waiter.start_by
@@ -335,7 +337,7 @@
             raise NotRun("overloaded", retry_after=retry_after, reasons=reasons)
         return predicted
 
-    def _reserve(self, waiter, now):
+    def _time_reserve(self, waiter, now):
         """Return the time reserve that a request needs beyond its predicted wait."""
         late = waiter.order[0]
         if late:
@@ -387,6 +389,7 @@
         )
 
     async def _wait(self, waiter, now):
+        """Wait until a queued request is assigned a slot or is refused."""
         future = waiter.future
         try:
             with TimeLimit(loop=self._loop, when=max(now, waiter.latest_start)):
@@ -442,8 +445,8 @@
             waiter = self._queue.pop(0)
             if waiter.future.done():
                 continue
-            # Refuse a request that starts too late: it would be cut off while it
-            # runs, or take the slot of one that can still be on time.
+            # A request that would start too late is refused: it would be cut off while
+            # it runs, or take the slot of a request that can still be on time.
             gives_way = (
                 self._queue
                 and now > waiter.start_by + LATE_START_FACTOR * waiter.estimate
--- a/guavastream/relay/guard.py
+++ b/guavastream/relay/guard.py
@@ -17,7 +17,8 @@
 # Requests still go to the server for this long after its departure was acknowledged;
 # operators allow 2 s.
 DEPARTURE_GRACE_SECONDS = 1.6
-# Longest wait for the server to be granted a key that the book already assigns to it.
+# Longest wait for the server to be granted a key that the fleet state already assigns
+# to it.
 MAX_GRANT_WAIT_SECONDS = 0.4
 KEY_POLL_SECONDS = 0.02
 MIN_POLL_SECONDS = 0.001
@@ -99,7 +100,7 @@
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def covers(self, key):
-        """Whether the key is in one of the ranges, whatever the time."""
+        """Whether the key is in one of the ranges, even if `until` has passed."""
         return any(first <= key <= last for first, last in self.ranges)
 
 
@@ -112,8 +113,8 @@
         The running loop; its time is the clock.
     dialect : Dialect
         Header names.
-    books : TableHolder
-        Holds the newest book, which names the local server.
+    fleet_holder : TableHolder
+        Holds the newest fleet state, which names the local server.
     door : str
         IP:PORT where requests for the local server arrive.
     count : callable
@@ -122,7 +123,7 @@
         Holds the leases of servers that are granted keys by calls.
     on_ended : callable, optional
         Called with an instance that has ended and the fingerprints of the requests
-        that it had.
+        that were running on it.
     on_answered : callable, optional
         Called with the fingerprint of a suspect request and the instance that
         answered it.
@@ -135,7 +136,7 @@
         *,
         loop,
         dialect,
-        books,
+        fleet_holder,
         door,
         count,
         keeper=None,
@@ -146,7 +147,7 @@
         self._loop = loop
         self._clock = loop.time
         self._dialect = dialect
-        self._books = books
+        self._fleet_holder = fleet_holder
         self._keeper = keeper
         self._door = door
         self._count = count
@@ -155,7 +156,9 @@
         self._server = ServerClient(
             loop=loop, dialect=dialect, count=count, on_ended=self._note_ended
         )
-        self.quarantine = Quarantine(clock=self._clock, books=books, count=count)
+        self.quarantine = Quarantine(
+            clock=self._clock, fleet_holder=fleet_holder, count=count
+        )
         # Held by the suspect request that runs; only one of them runs at a time.
         self._suspect_turn = LifoLock(loop=loop)
         self._admission_queue = AdmissionQueue(loop=loop, policy=policy)
@@ -181,7 +184,7 @@
 
     def usual_seconds(self, kind):
         """Return the smoothed time that a kind of request takes at the server."""
-        return self._admission_queue.usual(kind)
+        return self._admission_queue.estimated_seconds(kind)
 
     def report(self, kind=""):
         """Return the load of the local server, with the times of a kind of request."""
@@ -212,7 +215,7 @@
 
     def _note_ended(self, instance, requests):
         if instance.leaving or instance.id in self._departure_acknowledged_at:
-            # A planned end says nothing about the requests that were running.
+            # After a planned end, the running requests are not suspected as its cause.
             requests = ()
         for fingerprint in requests:
             self.quarantine.note_end(fingerprint, instance.id)
@@ -248,29 +251,29 @@
 
     def find_local(self, id):
         """Return the instance with this id if it is the local one, or None."""
-        instance = self._books.table.instances.get(id)
+        instance = self._fleet_holder.table.instances.get(id)
         if instance is None or instance.door != self._door:
             return None
         return instance
 
     @contextlib.asynccontextmanager
     async def serve(self, attempt):
-        """Run an attempt and yield the server's answer; keeps a slot meanwhile.
+        """Run an attempt and yield the server's answer; holds a slot until the exit.
 
         Raises
         ------
         NotRun
-            If the server has not run it and will not run it.
+            If the server has not run the attempt and will not run it.
         OutcomeUnknown
-            If it may have run.
+            If the attempt may have run.
         """
         instance = self.find_local(attempt.instance)
         if instance is None or instance.service != attempt.service:
             raise NotRun("no_server")
         self._local_id = instance.id
         if attempt.key is not None and not attempt.is_retry:
-            # Retries are not counted again: they would double the counts of just the
-            # keys whose owner is overloaded.
+            # Retries are not counted: they would inflate the counts of the keys whose
+            # owner is overloaded.
             self._key_counts[attempt.key] = self._key_counts.get(attempt.key, 0) + 1
         self._refuse_if_leaving(instance)
         if self._server.watch.has_ended(instance.id):
@@ -279,7 +282,7 @@
         try:
             if attempt.key is not None:
                 await self._wait_for_key(attempt)
-            usual = await self._wait_for_slot(attempt, instance)
+            estimate = await self._wait_for_slot(attempt, instance)
             began, seconds = self._clock(), None
             self._running_attempts[attempt.id] = attempt
             try:
@@ -296,7 +299,9 @@
                     seconds = self._clock() - began
             finally:
                 self._running_attempts.pop(attempt.id, None)
-                self._admission_queue.leave(usual, kind=attempt.kind, seconds=seconds)
+                self._admission_queue.leave(
+                    estimate, kind=attempt.kind, seconds=seconds
+                )
         finally:
             if has_turn:
                 self._suspect_turn.release()
@@ -304,13 +309,16 @@
     async def _wait_for_suspect_turn(self, attempt, instance):
         """Wait until no other suspect request runs, if this one is suspect.
 
-        If the server ends while it runs, the cause is known; if the server answers,
-        the request is cleared. Returns whether the turn was taken.
+        As it is the only suspect request at the server, it is known as the cause if
+        the server ends, and is cleared if the server answers. Returns whether the
+        request is suspect and has taken its turn, which the caller must release.
         """
         suspect_status = self.quarantine.check(attempt, instance)
         if suspect_status is None or not suspect_status.must_run_alone:
             return False
-        needed = max(ANSWER_MARGIN_SECONDS, self._admission_queue.usual(attempt.kind))
+        needed = max(
+            ANSWER_MARGIN_SECONDS, self._admission_queue.estimated_seconds(attempt.kind)
+        )
         try:
             await self._suspect_turn.acquire(until=attempt.deadline - needed)
         except TimeoutError:
@@ -324,7 +332,7 @@
         return True
 
     async def _wait_for_slot(self, attempt, instance):
-        """Wait for a slot; return the expected time for `AdmissionQueue.leave`."""
+        """Wait for a slot; return the estimate to pass to `AdmissionQueue.leave`."""
         self._admission_queue.slots = instance.slots
         try:
             return await self._admission_queue.enter(
@@ -364,7 +372,7 @@
                 "key": attempt.key,
                 "call": attempt.is_call,
                 "again": attempt.is_retry,
-                "book_ms": self._books.age_ms(self._clock()),
+                "book_ms": self._fleet_holder.age_ms(self._clock()),
                 **(refused.reasons or {}),
             },
         )
@@ -372,9 +380,9 @@
     def _refuse_if_leaving(self, instance):
         if not instance.leaving and instance.id not in self._departure_acknowledged_at:
             return
-        # Requests that were under way when the departure was acknowledged still run;
-        # later ones go to another server. A process that has started since then does
-        # not know the time of the acknowledgment, and refuses at once.
+        # Requests that were on their way to this host when the departure was
+        # acknowledged still run; later ones go to another server. A process that was
+        # started after the acknowledgment does not know its time and refuses at once.
         since = self._departure_acknowledged_at.get(instance.id, float("-inf"))
         if self._clock() - since > DEPARTURE_GRACE_SECONDS:
             raise NotRun("leaving")
@@ -385,15 +393,16 @@
             self._clock() + MAX_GRANT_WAIT_SECONDS,
         )
         while not self._holds_key(attempt):
-            owner = self._books.table.owner_of(attempt.service, attempt.key)
+            owner = self._fleet_holder.table.owner_of(attempt.service, attempt.key)
             if owner is None or owner.id != attempt.instance:
                 raise NotRun("moving")
             left = until - self._clock()
             if left <= 0:
                 raise NotRun("moving")
-            # The wait ends when the server is granted the key, or when the book gives
-            # the key to another server. The second case sets no event, and is polled.
-            self._books.request_update()
+            # The wait ends when the server is granted the key, or when the fleet state
+            # assigns the key to another server. The latter sets no event, so it is
+            # polled.
+            self._fleet_holder.request_update()
             with contextlib.suppress(TimeoutError):
                 pause = max(MIN_POLL_SECONDS, min(KEY_POLL_SECONDS, left))
                 with TimeLimit.within(pause, loop=self._loop):
--- a/guavastream/relay/hop.py
+++ b/guavastream/relay/hop.py
@@ -42,7 +42,7 @@
 # the third keeps it busy while one of them waits for its sender.
 MAX_CONCURRENT_BODIES = 3
 # Longest time for which the large bodies under way may occupy the link. Other
-# traffic queues behind them: calls between servers, and updates of the book.
+# traffic queues behind them: calls between servers, and updates of the fleet state.
 MAX_LINK_BUSY_SECONDS = 0.3
 # Weight of the newest value in the moving average of body lengths.
 BODY_LENGTH_SMOOTHING = 0.1
--- a/guavastream/relay/ingress.py
+++ b/guavastream/relay/ingress.py
@@ -29,16 +29,16 @@
 # Longest wait for the owner of a key, as a share of the remaining time. A caller that
 # is refused then still has enough time for a successful retry.
 OWNER_WAIT_SHARE = 0.3
-# Longest single wait for a newer book. An unreachable server may return without a
-# new book, so that the owner is tried again after each wait.
-BOOK_POLL_SECONDS = 0.03
+# Longest single wait for a newer fleet state. An unreachable owner may become reachable
+# without a change of the fleet state, so it is tried again after each wait.
+FLEET_POLL_SECONDS = 0.03
 MIN_POLL_SECONDS = 0.001
-# Values of Retry-After, seconds: the shorter one applies where another host takes over
-# at once, the default where an owner or a server has to be found first.
+# Values of Retry-After in seconds. The minimum applies if another host can serve the
+# retry at once, the default if an owner or a server has to be found first.
 MIN_RETRY_AFTER_SECONDS = 0.05
 DEFAULT_RETRY_AFTER_SECONDS = 0.3
-# Refusals for lack of capacity after which the caller is refused. The servers with the
-# shortest expected times have been tried by then.
+# Number of servers that may refuse a request for lack of capacity before the caller is
+# refused. They are the servers with the shortest expected times.
 MAX_REFUSALS = 3
 # A request with less remaining time is refused. It could not reach a server, and would
 # time out with an unknown outcome if it were sent.
@@ -63,8 +63,8 @@
         The running loop; its time is the clock.
     dialect : Dialect
         Header names.
-    books : TableHolder
-        Holds the newest book.
+    fleet_holder : TableHolder
+        Holds the newest fleet state.
     routes : callable
         Returns the `RouteIndex` in force, or None before there is one.
     guard : Guard
@@ -76,7 +76,7 @@
     lists : ServerLists
         The servers of each service.
     ratio : float
-        Retries that all hosts together may make per request, the retry budget.
+        Retry budget: retries per request that all hosts together may make.
     count : callable
         Counts an event by name.
     observe : callable
@@ -90,7 +90,7 @@
         *,
         loop,
         dialect,
-        books,
+        fleet_holder,
         routes,
         guard,
         picker,
@@ -105,7 +105,7 @@
         self._loop = loop
         self._clock = loop.time
         self._dialect = dialect
-        self._books = books
+        self._fleet_holder = fleet_holder
         self._guard = guard
         self._picker = picker
         self._lists = lists
@@ -116,7 +116,7 @@
         self._rng = random.Random()
         self._retry_budgets = {}
         self._failure_rates = {}
-        # Set at the end of a stop; all further requests are refused as not run.
+        # Set at the end of a shutdown; all further requests are refused as not run.
         self.leaving = False
         self._limits = TimeLimitGroup(loop=loop)
         self._reader = JobReader(
@@ -145,7 +145,7 @@
                 await self._serve(job, responder)
         except NotRun as refused:
             if job is not None and job.unknown_outcomes:
-                # An earlier attempt may have run, so that NotRun would be wrong.
+                # An earlier attempt may have run, so "not run" would be wrong.
                 await self._answer_failure(responder, job, job.unknown_outcomes[-1])
             else:
                 await self._answer_refusal(responder, job, refused)
@@ -169,12 +169,13 @@
     def end_by(self, when):
         """Answer every request by the clock's time `when` at the latest.
 
-        Callers may wait for longer than a stopping process is given. Without this
-        limit they would get no answer; requests that arrive later are refused in time.
+        Deadlines of callers may be later than the time at which a stopping process
+        has to exit. Without this limit, such callers would get no answer.
         """
         self._limits.end_by(when)
 
     async def _serve(self, job, responder):
+        """Send a job to one server after another until it is answered or given up."""
         retry_budget = self._retry_budgets.get(job.service)
         if retry_budget is None:
             retry_budget = self._retry_budgets[job.service] = RetryBudget(
@@ -183,18 +184,18 @@
         retry_budget.earn()
         tried = set()
         last_logged = None
-        reached = refusals = 0
-        owner_wait_limit = OWNER_WAIT_SHARE * self._policy.owner_wait
+        reached_attempts = refusals = 0
+        owner_wait_share = OWNER_WAIT_SHARE * self._policy.owner_wait
         owner_wait_limit = (
-            self._clock() + (job.deadline - self._clock()) * owner_wait_limit
+            self._clock() + (job.deadline - self._clock()) * owner_wait_share
         )
         while True:
-            book = self._books.table
+            fleet_state = self._fleet_holder.table
             server = None
             try:
-                server = self._choose(book, job, tried)
+                server = self._choose(fleet_state, job, tried)
                 self._guard.quarantine.check(job, server)
-                last = self._is_last_attempt(book, job, server, tried, refusals)
+                last = self._is_last_attempt(fleet_state, job, server, tried, refusals)
                 return await self._try(job, server, responder, last=last)
             except NotRun as error:
                 failure, code = error, error.code
@@ -212,23 +213,25 @@
                 raise failure
             if server is not None:
                 tried.add(server.id)
-            harmful = code == "server_ended" and self._note_server_end(job, server)
-            if isinstance(failure, OutcomeUnknown) and (harmful or not job.idempotent):
+            ends_servers = code == "server_ended" and self._note_server_end(job, server)
+            if isinstance(failure, OutcomeUnknown) and (
+                ends_servers or not job.idempotent
+            ):
                 raise failure
             if not job.replayable and rule.reached_server:
                 raise failure
             if rule.reached_server:
-                reached += 1
+                reached_attempts += 1
                 if not self._policy.second_tries:
                     raise failure
-                if reached >= job.route.attempts or not retry_budget.spend():
+                if reached_attempts >= job.route.attempts or not retry_budget.spend():
                     raise failure
             if code == "server_failed":
                 continue
             if rule.wait_for_owner and (job.keyed or code == "no_server"):
                 if self._clock() >= owner_wait_limit or not self._policy.owner_waits:
                     raise failure
-                await self._wait_for_newer_book(book.index, owner_wait_limit)
+                await self._wait_for_newer_state(fleet_state.index, owner_wait_limit)
                 tried.clear()
                 continue
             if job.keyed or not rule.try_elsewhere:
@@ -236,7 +239,7 @@
             refusals += code == "overloaded"
             if refusals >= MAX_REFUSALS:
                 raise failure
-            if not self._has_untried_server(book, job, tried):
+            if not self._has_untried_server(fleet_state, job, tried):
                 raise failure
 
     def _note_server_end(self, job, server):
@@ -265,30 +268,31 @@
                 "code": code,
                 "server": server.id if server else "",
                 "key": job.key,
-                "index": self._books.table.index,
-                "book_ms": self._books.age_ms(self._clock()),
+                "index": self._fleet_holder.table.index,
+                "book_ms": self._fleet_holder.age_ms(self._clock()),
                 "left_ms": int((job.deadline - self._clock()) * 1000),
             },
         )
 
-    def _has_untried_server(self, book, job, tried):
-        choices = self._lists.of(book.instances, job.service)
+    def _has_untried_server(self, fleet_state, job, tried):
+        choices = self._lists.of(fleet_state.instances, job.service)
         return any(server.id not in tried for server in choices.all)
 
-    def _is_last_attempt(self, book, job, server, tried, refusals):
+    def _is_last_attempt(self, fleet_state, job, server, tried, refusals):
         """Whether no other server is tried if this one refuses the request."""
         if job.keyed or refusals + 1 >= MAX_REFUSALS:
             return True
-        return not self._has_untried_server(book, job, tried | {server.id})
+        return not self._has_untried_server(fleet_state, job, tried | {server.id})
 
-    async def _wait_for_newer_book(self, index, until):
-        left = min(BOOK_POLL_SECONDS, until - self._clock())
-        await self._books.wait(index + 1, max(MIN_POLL_SECONDS, left))
+    async def _wait_for_newer_state(self, index, until):
+        """Wait for a fleet state after `index`, for one poll interval at most."""
+        left = min(FLEET_POLL_SECONDS, until - self._clock())
+        await self._fleet_holder.wait(index + 1, max(MIN_POLL_SECONDS, left))
 
-    def _choose(self, book, job, tried):
+    def _choose(self, fleet_state, job, tried):
         """Return the server for the next attempt."""
         if job.keyed:
-            owner = book.owner_of(job.service, job.key)
+            owner = fleet_state.owner_of(job.service, job.key)
             if owner is None:
                 raise NotRun("no_owner", retry_after=DEFAULT_RETRY_AFTER_SECONDS)
             if self._picker.is_silent(owner, job.route.name):
@@ -298,7 +302,7 @@
                 raise NotRun("unreachable", retry_after=DEFAULT_RETRY_AFTER_SECONDS)
             return owner
         here = self._guard.local_id
-        choices = self._lists.of(book.instances, job.service)
+        choices = self._lists.of(fleet_state.instances, job.service)
         job.considered_servers[:] = self._picker.candidates(choices, tried, here=here)
         server = self._picker.choose(
             job.considered_servers,
@@ -312,6 +316,7 @@
         return server
 
     async def _try(self, job, server, responder, *, last):
+        """Make one attempt at a server, and update what the picker knows of it."""
         self._picker.begin(server)
         job.sent_to.append(server.id)
         try:
@@ -409,10 +414,10 @@
         )
 
     async def _send(self, exchange, job, server, headers):
-        # A host that is about to end may reset a new connection, which does not tell
-        # whether it has read the request.
-        unsure = bool(job.body) and not job.idempotent and not exchange.reused
-        if job.stream is None and len(job.body) < LARGE_BYTES and not unsure:
+        # A host that is shutting down may reset a new connection. It is then unknown
+        # whether the host has read the request, so the body is sent only on demand.
+        may_be_reset = bool(job.body) and not job.idempotent and not exchange.reused
+        if job.stream is None and len(job.body) < LARGE_BYTES and not may_be_reset:
             exchange.send(job.method, job.target, headers, job.body)
             return
         try:
@@ -420,7 +425,7 @@
                 job.method, job.target, headers, job.body, job.stream
             )
         except IncompleteMessage:
-            # No byte of the body was sent, and no request runs without its body.
+            # No byte of the body was sent, and a server runs no request without it.
             self._client.close_idle(server.door)
             raise NotRun(
                 "unreachable", retry_after=DEFAULT_RETRY_AFTER_SECONDS
@@ -443,8 +448,11 @@
             and not job.failed_statuses
         ):
             left = job.deadline - self._clock()
-            enough = left > 2 * (self._clock() - job.started)
-            if enough and self._failure_rates.get(job.service, 0.0) < MAX_FAILURE_RATE:
+            has_time_to_retry = left > 2 * (self._clock() - job.started)
+            if (
+                has_time_to_retry
+                and self._failure_rates.get(job.service, 0.0) < MAX_FAILURE_RATE
+            ):
                 job.failed_statuses.append(answer.status)
                 raise OutcomeUnknown("server_failed")
         parts, size = [], 0
@@ -473,7 +481,7 @@
         seconds = max(
             MIN_RETRY_AFTER_SECONDS, refused.retry_after or DEFAULT_RETRY_AFTER_SECONDS
         )
-        # Jitter, so that callers that are refused together do not retry together.
+        # Jitter keeps callers that are refused together from retrying together.
         seconds *= self._rng.uniform(0.7, 1.3)
         self._log_unserved(job, refused.code)
         headers = [(b"Retry-After", b"%.2f" % seconds)]
@@ -481,7 +489,7 @@
 
     async def _answer_failure(self, responder, job, code):
         if responder.complete:
-            # The deadline passed just after the whole answer was sent.
+            # The deadline passed just after the answer had been sent completely.
             return
         self._count(f"failed.{code}")
         self._log_unserved(job, code)
@@ -497,7 +505,7 @@
             log.info("Refused: %s.", code)
             return
         self._reader.note_unserved(job)
-        # The fingerprint shows whether such a request returns under new ids.
+        # The fingerprint identifies a request that is sent again under a new id.
         may_recur = job.sent_to or code == "quarantined"
         log.info(
             "Gave up.",
--- a/guavastream/relay/outcome.py
+++ b/guavastream/relay/outcome.py
@@ -14,7 +14,7 @@
     status : int
         Status sent to the caller if no other attempt follows.
     wait_for_owner : bool
-        Whether the next attempt has to wait for a newer book, which may name
+        Whether the next attempt has to wait for a newer fleet state, which may name
         another owner or server.
     try_elsewhere : bool
         Whether an attempt at another server may succeed.
--- a/guavastream/relay/pick.py
+++ b/guavastream/relay/pick.py
@@ -12,8 +12,8 @@
 REPORT_VALID_SECONDS = 1.0
 # Estimated time of a request while there are no samples.
 DEFAULT_SECONDS = 0.1
-# Factor on the expected time of a server in another zone: traffic between zones costs
-# money, and a delay this small is not noticed.
+# Factor on the expected time of a server in another zone. Traffic between zones costs
+# money, and callers do not notice a delay of this size.
 CROSS_ZONE_FACTOR = 1.08
 # A request stays in its zone if a server there is expected to answer within this share
 # of the target time: the answer keeps its full value, and traffic between zones costs
@@ -52,8 +52,8 @@
 # Size of the random sample from a large service that is used when all servers of this
 # host's subset have been tried or are unreachable.
 SAMPLED_SERVERS = 6
-# Number of servers in one log record. With all 31 servers of a service, records of
-# 3 KB left room for only the last third of a second of an incident in the log.
+# Number of servers in one log record. With all 31 servers of a service, a record took
+# 3 KB, and the log held only the last third of a second of an incident.
 LOGGED_SERVERS = 4
 
 
@@ -187,8 +187,8 @@
         if local is not None and here not in avoid and local not in found:
             found.append(local)
         if not found:
-            drawn = self._rng.sample(choices.all, SAMPLED_SERVERS)
-            found = self._reachable(drawn, avoid)
+            sampled = self._rng.sample(choices.all, SAMPLED_SERVERS)
+            found = self._reachable(sampled, avoid)
         return found or [s for s in choices.all if s.id not in avoid]
 
     def _reachable(self, servers, avoid):
@@ -230,32 +230,32 @@
         here : str
             ID of the server on this host, which needs no hop to another host.
         """
-        fresh = [s for s in servers if s.id not in avoid]
-        pool = self._without_skipped(fresh)
+        untried = [s for s in servers if s.id not in avoid]
+        pool = self._without_skipped(untried)
         if not pool:
             return None
-        enough = target * (
+        local_limit = target * (
             LARGE_LOCAL_TARGET_SHARE if size >= LARGE_BYTES else LOCAL_TARGET_SHARE
         )
-        best, least = None, math.inf
-        nearest, least_near = None, math.inf
+        best, best_time = None, math.inf
+        best_in_zone, best_time_in_zone = None, math.inf
         now = self._clock()
         for server in pool:
             time = self._expected_seconds(server, kind, now)
-            if server.id == here and time <= enough and self._policy.near:
+            if server.id == here and time <= local_limit and self._policy.near:
                 return server
-            if time < least:
-                best, least = server, time
-            if server.zone == self._zone and time < least_near:
-                nearest, least_near = server, time
-        keeps_zone = least_near <= enough and self._policy.near
-        return nearest if keeps_zone else best
+            if time < best_time:
+                best, best_time = server, time
+            if server.zone == self._zone and time < best_time_in_zone:
+                best_in_zone, best_time_in_zone = server, time
+        stays_in_zone = best_time_in_zone <= local_limit and self._policy.near
+        return best_in_zone if stays_in_zone else best
 
     def _without_skipped(self, servers):
         """Return the servers that are not skipped, all if too many would be skipped."""
         now = self._clock()
         kept = [s for s in servers if self._state_of(s).skip_until <= now]
-        # If most servers seem unreachable, the fault is more likely on this host.
+        # If most servers seem unreachable, the cause is more likely on this host.
         if len(kept) < len(servers) * (1 - MAX_SKIPPED_SHARE):
             return servers
         return kept
@@ -372,14 +372,14 @@
         state.sent_since_report = 0
 
     def note_answer(self, server, *, failed):
-        """Update a server's penalty by an answer, whatever its health check says."""
+        """Update a server's penalty after an answer; health checks play no part."""
         state = self._state_of(server)
         now = self._clock()
-        left = state.penalty * math.exp(
+        remaining = state.penalty * math.exp(
             (state.penalty_at - now) / PENALTY_DECAY_SECONDS
         )
         if self._policy.burden:
-            state.penalty = left + FAILURE_PENALTY if failed else left * 0.8
+            state.penalty = remaining + FAILURE_PENALTY if failed else remaining * 0.8
         state.penalty_at = now
         if not failed:
             state.answered_at = now
@@ -408,9 +408,9 @@
     def note_unreachable(self, server):
         """Skip an unreachable server for a time that doubles with each failure."""
         state = self._state_of(server)
-        longer = max(MIN_BACKOFF_SECONDS, 2 * state.backoff)
+        doubled = max(MIN_BACKOFF_SECONDS, 2 * state.backoff)
         state.probed_at = self._clock()
-        state.backoff = min(MAX_BACKOFF_SECONDS, longer)
+        state.backoff = min(MAX_BACKOFF_SECONDS, doubled)
         state.skip_until = self._clock() + state.backoff
 
     def keep_only(self, ids):
--- a/guavastream/relay/quarantine.py
+++ b/guavastream/relay/quarantine.py
@@ -85,7 +85,7 @@
     ----------
     clock : callable
         Monotonic time in seconds.
-    books : TableHolder
+    fleet_holder : TableHolder
         Holder of the latest fleet state.
     count : callable
         Counts an event by name.
@@ -97,25 +97,25 @@
     matches that of a suspect.
     """
 
-    def __init__(self, *, clock, books, count):
+    def __init__(self, *, clock, fleet_holder, count):
         self._clock = clock
-        self._books = books
+        self._fleet_holder = fleet_holder
         self._count = count
         self._suspects = {}
         self._seen = OrderedDict()
         self._heads = frozenset()
 
-    def follow(self, before, book):
+    def follow(self, before, fleet_state):
         """Apply the changes from one version of the fleet state to a newer one."""
-        if book.suspects is before.suspects:
+        if fleet_state.suspects is before.suspects:
             return
         # A request that is no longer listed or refused was answered by a server,
         # released by an operator, or has expired.
         for fingerprint, suspect in before.suspects.items():
-            now = book.suspects.get(fingerprint)
+            now = fleet_state.suspects.get(fingerprint)
             if now is None or (suspect.refused and not now.refused):
                 self._seen.pop(fingerprint, None)
-        self._suspects = book.suspects
+        self._suspects = fleet_state.suspects
         self._index_heads()
 
     def _index_heads(self):
@@ -139,7 +139,7 @@
         seen = self._seen_ended(fingerprint, suspect)
         if suspect is None and not seen:
             return None
-        silence = self._clock() - self._books.confirmed_at
+        silence = self._clock() - self._fleet_holder.confirmed_at
         return SuspectStatus(
             fingerprint=fingerprint,
             suspect=suspect,
@@ -153,7 +153,7 @@
         if not instance_ids or suspect is not None:
             return instance_ids
         # The control hosts were told long ago and have dropped or cleared it.
-        if self._books.confirmed_at - at > LOCAL_SUSPECT_SECONDS:
+        if self._fleet_holder.confirmed_at - at > LOCAL_SUSPECT_SECONDS:
             del self._seen[fingerprint]
             self._index_heads()
             return ()
--- a/guavastream/relay/tests/rig.py
+++ b/guavastream/relay/tests/rig.py
@@ -49,7 +49,7 @@
         self.id = f"i{number}"
         self.inbound = f"{self.ip}:2"
         self.outbound = f"{self.ip}:1"
-        self.books = TableHolder(codec=FleetStateCodec())
+        self.fleet_holder = TableHolder(codec=FleetStateCodec())
         self.counts = {}
         self.ended = []
         self.server = DialectServer(
@@ -58,7 +58,7 @@
         self.guard = Guard(
             loop=loop,
             dialect=DIALECT,
-            books=self.books,
+            fleet_holder=self.fleet_holder,
             door=self.inbound,
             count=self._count,
             on_ended=lambda instance, requests: self.ended.append(instance),
@@ -66,7 +66,7 @@
         self.ingress = Ingress(
             loop=loop,
             dialect=DIALECT,
-            books=self.books,
+            fleet_holder=self.fleet_holder,
             routes=lambda: mesh.index,
             guard=self.guard,
             picker=Picker(clock=loop.time, rng=random.Random(number)),
@@ -101,7 +101,7 @@
 
 
 class Mesh:
-    """Hosts that share one book and one configuration."""
+    """Hosts that share one fleet state and one configuration."""
 
     def __init__(self, *, hosts=2, keyed=False, routes=None):
         routes = routes or (
@@ -115,7 +115,7 @@
             services={"s": ServiceRules(name="s", keyed=keyed)},
         )
         self.index = RouteIndex(config)
-        self.book = FleetState(config=config)
+        self.fleet_state = FleetState(config=config)
         self.hosts = [Host(self, number) for number in range(1, hosts + 1)]
         self.client = Client()
         self._numbers = iter(range(1, 10**6))
@@ -136,9 +136,11 @@
             )
 
     def apply(self, command):
-        self.book, _ = self.book.apply(self.book.index + 1, command)
+        self.fleet_state, _ = self.fleet_state.apply(
+            self.fleet_state.index + 1, command
+        )
         for host in self.hosts:
-            host.books.replace(self.book)
+            host.fleet_holder.replace(self.fleet_state)
 
     def grant(self, *rows):
         self.apply(GrantKeys(service="s", rows=rows))
@@ -147,9 +149,9 @@
         self.index = None
 
     def set_timeout(self, name, seconds):
-        routes = dict(self.book.config.routes)
+        routes = dict(self.fleet_state.config.routes)
         routes[name] = replace(routes[name], timeout=seconds)
-        self.index = RouteIndex(replace(self.book.config, routes=routes))
+        self.index = RouteIndex(replace(self.fleet_state.config, routes=routes))
 
     async def ask(
         self, path, *, method=b"GET", at=0, body=b"", headers=(), deadline=1000
--- a/guavastream/relay/tests/test_hop.py
+++ b/guavastream/relay/tests/test_hop.py
@@ -120,7 +120,7 @@
 )
 def test_concurrent_bodies_are_limited_by_the_link_rate(mbit, most):
     # Three bodies of 60 KB occupy a link of 2 Mbit/s for 0.7 s. Calls between servers
-    # queue behind them and time out, and updates of the book arrive later than a
+    # queue behind them and time out, and updates of the fleet state arrive later than a
     # change has to be in force.
     link, _ = upload(12, left_ms=10_000, link_rate=mbit * 125_000)
     assert link.max_concurrent == most and link.received == 12
--- a/guavastream/relay/tests/test_path.py
+++ b/guavastream/relay/tests/test_path.py
@@ -270,7 +270,7 @@
     # If a server that lives is taken for ended, its keys get a second holder.
     async def scenario(mesh):
         host = mesh.hosts[0]
-        instance = mesh.book.instances[host.id]
+        instance = mesh.fleet_state.instances[host.id]
 
         async def seems_ended():
             host.guard.note_refused(instance)
--- a/guavastream/relay/tests/test_pick.py
+++ b/guavastream/relay/tests/test_pick.py
@@ -204,8 +204,8 @@
     lists = ServerLists(host="h", zone="a")
     before = lists.of({one.id: one for one in servers}, "s")
     leaving = replace(before.subset[0], leaving=True)
-    book = {one.id: one for one in servers} | {leaving.id: leaving}
-    after = lists.of(book, "s")
+    instances = {one.id: one for one in servers} | {leaving.id: leaving}
+    after = lists.of(instances, "s")
     assert leaving.id not in after.by_id
     assert leaving.id not in {one.id for one in after.subset}
 
