--- a/guavastream/control/tests/test_bad_commands.py
+++ b/guavastream/control/tests/test_bad_commands.py
@@ -18,7 +18,7 @@
 
 
 @handles(FailingCommand)
-def _fail(book, index, command):
+def _fail(state, index, command):
     raise ZeroDivisionError("this command always fails")
 
 
--- a/guavastream/daemon/__init__.py
+++ b/guavastream/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon: all roles of one process."""
+"""The daemon: a process that runs the roles enabled by its settings."""
 
-from guavastream import control, door, guard, operate  # noqa: F401  (plug-ins)
+from guavastream import control, door, guard, operate  # noqa: F401  (registers roles)
 from guavastream.daemon.node import *
--- a/guavastream/daemon/node.py
+++ b/guavastream/daemon/node.py
@@ -1,4 +1,4 @@
-"""One process of the system: what its roles share, its start and its stop."""
+"""The daemon process: the state its roles share, its startup and its shutdown."""
 
 import asyncio
 import signal
@@ -14,20 +14,22 @@
 
 __all__ = ["Node", "run_node"]
 
-# Order of start; a drain goes the same way, the stop the other way round.
+# Events of single requests are recorded in the timeline but not counted as metrics.
 REQUEST_EVENTS = ("admitted", "answered")
-ORDER = ("control", "guard", "operator", "door")
+
+# Roles are started and drained in this order, and stopped in reverse order.
+ROLE_START_ORDER = ("control", "guard", "operator", "door")
 
 log = part_logger("node")
 
 
 class Node:
-    """A running process.
+    """A daemon process with its roles and the state that they share.
 
     Parameters
     ----------
     settings : Settings
-        Checked settings.
+        The validated settings.
     """
 
     def __init__(self, *, settings):
@@ -40,7 +42,7 @@
         )
         self.metrics = make_metrics(settings.statsd)
         self.transport = ZmqTransport(
-            hybrid=self.recorder.clock, on_reconnect=self._note_reconnect
+            hybrid=self.recorder.clock, on_reconnect=self._record_reconnect
         )
         self.control = ControlClient(
             transport=self.transport, addresses=settings.control_addresses
@@ -61,61 +63,61 @@
         self.guard = None
         self._roles = []
         self._tasks = set()
-        self._stopping = asyncio.Event()
-        self._failed = None
+        self._stop_requested = asyncio.Event()
+        self._failure = None
 
     def record(self, kind, **fields):
-        """Record an event, and count it unless it is one of a request."""
+        """Record an event; also count it, unless it is a per-request event."""
         if kind not in REQUEST_EVENTS:
             self.metrics.incr(f"events.{kind}")
         return self.recorder.record(kind, **fields)
 
     def spawn(self, coroutine):
-        """Run a task for as long as the process; its failure ends it."""
+        """Start a background task; if it fails, the process stops."""
         task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._note_end)
+        task.add_done_callback(self._on_task_done)
 
     def stop(self):
-        """Begin the graceful shutdown; a second call changes nothing."""
-        if self._stopping.is_set():
-            log.info("Already shutting down.")
-        self._stopping.set()
+        """Start the graceful shutdown; further calls have no effect."""
+        if self._stop_requested.is_set():
+            log.info("Shutdown is already in progress.")
+        self._stop_requested.set()
 
     async def run(self):
-        """Serve until stopped, then drain.
+        """Start the roles, serve until stopped, then drain and stop the roles.
 
         Raises
         ------
         FindingsError, DamagedLog
-            If a role cannot start.
+            If a role cannot be started.
         """
         try:
             await self._start()
-            log.info("Serving with roles %s.", ", ".join(self.role_names))
-            await self._stopping.wait()
-            if self._failed is None:
+            log.info("Serving with roles: %s.", ", ".join(self.role_names))
+            await self._stop_requested.wait()
+            if self._failure is None:
                 await self._drain()
         finally:
-            await self._end()
-        if self._failed is not None:
-            raise self._failed
+            await self._shut_down()
+        if self._failure is not None:
+            raise self._failure
 
     @property
     def role_names(self):
-        """Names of the roles of this process."""
+        """Names of the roles that have been started."""
         return [name for name, _ in self._roles]
 
     async def _start(self):
         self.spawn(self.membership.run())
-        for name in ORDER:
+        for name in ROLE_START_ORDER:
             if name not in ROLES.names or not ROLES.get(name).wanted(self.settings):
                 continue
             role = ROLES.get(name)(node=self)
             try:
                 await role.start()
             except OSError as error:
-                text = f"Cannot be used ({error.strerror or error})."
+                text = f"The role cannot start ({error.strerror or error})."
                 place = f"--{name if name != 'control' else 'peer'}"
                 finding = Finding(place=place, code="address_in_use", text=text)
                 raise FindingsError([finding]) from error
@@ -129,9 +131,9 @@
             try:
                 await role.drain(deadline)
             except Exception as error:
-                log.warning("Drain went wrong: %s.", error)
+                log.warning("A role failed to drain: %s.", error)
 
-    async def _end(self):
+    async def _shut_down(self):
         for _, role in reversed(self._roles):
             await role.stop()
         tasks = list(self._tasks)
@@ -142,19 +144,19 @@
         self.sender.close()
         log.info("Stopped.")
 
-    def _note_end(self, task):
+    def _on_task_done(self, task):
         self._tasks.discard(task)
-        if task.cancelled() or self._stopping.is_set():
+        if task.cancelled() or self._stop_requested.is_set():
             return
-        # A part that has died while the others go on would leave a process
-        # that holds a lease but does half its work; it is better gone.
+        # Stop the whole process. If the other tasks went on, it would keep its
+        # lease but do only part of its work.
         error = task.exception()
         if error is not None:
-            log.error("A part failed: %r.", error)
-            self._failed = error
-            self._stopping.set()
+            log.error("A background task failed; stopping the process: %r.", error)
+            self._failure = error
+            self._stop_requested.set()
 
-    def _note_reconnect(self, address):
+    def _record_reconnect(self, address):
         self.metrics.incr("peer.reconnects")
         self.record("connection_dead", detail={"address": address})
 
@@ -165,14 +167,16 @@
     Raises
     ------
     FindingsError, DamagedLog
-        If it cannot start.
+        If the process cannot be started.
     """
     node = Node(settings=settings)
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, node.stop)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, node.stop)
     try:
         await node.run()
     except DamagedLog:
-        log.error("The control log is damaged; this process must not vote.")
+        log.error(
+            "The control log is damaged, so this process must not vote; stopping."
+        )
         raise
--- a/guavastream/declare/load.py
+++ b/guavastream/declare/load.py
@@ -1,4 +1,4 @@
-"""Read a file of declarations and report every finding with its place."""
+"""Parses and validates declaration files, and reports all findings at once."""
 
 import re
 import tomllib
@@ -16,18 +16,18 @@
 __all__ = ["load_declaration", "parse_declaration"]
 
 MAX_SHARDS = 65536
-NAME = re.compile(r"[a-z][a-z0-9-]{0,62}")
-METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE")
-TOP_NAMES = ("services", "presets", "preset")
+NAME_PATTERN = re.compile(r"[a-z][a-z0-9-]{0,62}")
+HTTP_METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE")
+TOP_LEVEL_NAMES = ("services", "presets", "preset")
 
 
 def load_declaration(path):
-    """Read the TOML file at `path`.
+    """Read and validate the declaration file (TOML) at `path`.
 
     Raises
     ------
     FindingsError
-        With every finding and its table.
+        If the file cannot be read or is invalid; it holds all findings.
     """
     try:
         with open(path, encoding="utf-8") as file:
@@ -40,22 +40,34 @@
 
 
 def parse_declaration(text, *, place="declaration"):
-    """Return the `Declaration` that a TOML text holds.
+    """Parse and validate a declaration given as TOML text.
+
+    Parameters
+    ----------
+    text : str
+        The TOML text.
+    place : str
+        Name of the source, which starts the place of each finding.
+
+    Returns
+    -------
+    Declaration
+        The validated declaration.
 
     Raises
     ------
     FindingsError
-        With every finding and its table.
+        If the text is invalid; it holds all findings.
 
     Examples
     --------
-    >>> made = parse_declaration('''
+    >>> declaration = parse_declaration('''
     ... preset = "ordinary"
     ... [services.swapdesk]
     ... non_idempotent = ["POST /swapdesk/swaps"]
     ... [presets.ordinary]
     ... ''')
-    >>> made.services[0].slots
+    >>> declaration.services[0].slots
     20
     """
     try:
@@ -64,14 +76,14 @@
         finding = Finding(place=place, code="bad_toml", text=f"{error}.")
         raise FindingsError([finding]) from error
     findings = [
-        Finding(place=f"{place}: {name}", code="unknown_name", text="Is not known.")
+        Finding(place=f"{place}: {name}", code="unknown_name", text="Unknown name.")
         for name in raw
-        if name not in TOP_NAMES
+        if name not in TOP_LEVEL_NAMES
     ]
-    services, found = _parse_tables(raw, "services", Service, place)
-    findings += found
-    presets, found = _parse_tables(raw, "presets", Preset, place)
-    findings += found
+    services, new_findings = _parse_named_tables(raw, "services", Service, place)
+    findings += new_findings
+    presets, new_findings = _parse_named_tables(raw, "presets", Preset, place)
+    findings += new_findings
     for service in services:
         findings += _check_service(service, f"{place}: services.{service.name}")
     for preset in presets:
@@ -84,93 +96,97 @@
     )
 
 
-def _parse_tables(raw, name, cls, place):
+def _parse_named_tables(raw, name, cls, place):
     tables = raw.get(name, {})
     if not isinstance(tables, dict):
         finding = Finding(
-            place=f"{place}: {name}", code="bad_value", text="Is not a table."
+            place=f"{place}: {name}", code="bad_value", text="Must be a table."
         )
         return [], [finding]
-    made, findings = [], []
+    items, findings = [], []
     for key, table in tables.items():
-        where = f"{place}: {name}.{key}"
+        item_place = f"{place}: {name}.{key}"
         if not isinstance(table, dict):
             findings.append(
-                Finding(place=where, code="bad_value", text="Is not a table.")
+                Finding(place=item_place, code="bad_value", text="Must be a table.")
             )
             continue
-        if not NAME.fullmatch(key):
-            text = "A name has lower-case letters, digits and hyphens."
-            findings.append(Finding(place=where, code="bad_name", text=text))
-        item, found = _parse_one(cls, key, dict(table), where)
-        findings += found
+        if not NAME_PATTERN.fullmatch(key):
+            text = "Must be lower-case letters, digits and hyphens, a letter first."
+            findings.append(Finding(place=item_place, code="bad_name", text=text))
+        item, new_findings = _parse_table(cls, key, dict(table), item_place)
+        findings += new_findings
         if item is not None:
-            made.append(item)
-    return made, findings
+            items.append(item)
+    return items, findings
 
 
-def _parse_one(cls, key, table, where):
+def _parse_table(cls, key, table, item_place):
     findings = []
     weights = table.get("weights")
     if cls is Service and isinstance(weights, dict):
-        made, findings = check_fields(
-            Weights, weights, place=lambda name: f"{where}.weights.{name}"
+        parsed_weights, findings = check_fields(
+            Weights, weights, place=lambda name: f"{item_place}.weights.{name}"
         )
-        table["weights"] = made or Weights()
+        table["weights"] = parsed_weights or Weights()
     table["name"] = key
-    item, found = check_fields(cls, table, place=lambda name: f"{where}.{name}")
-    return item, findings + found
+    item, new_findings = check_fields(
+        cls, table, place=lambda name: f"{item_place}.{name}"
+    )
+    return item, findings + new_findings
 
 
-def _check_service(service, where):
-    def finding(name, text):
-        return Finding(place=f"{where}.{name}", code="bad_value", text=text)
+def _check_service(service, place):
+    def bad_value(name, text):
+        return Finding(place=f"{place}.{name}", code="bad_value", text=text)
 
     source, _, name = service.key.partition(":")
     if service.divided_by_key and (source not in KEY_SOURCES or not name):
-        yield finding("key", "Is header:NAME, query:NAME or path:N.")
+        yield bad_value("key", "Must be header:NAME, query:NAME or path:N.")
     elif source == "path" and not (name.isdigit() and int(name) >= 1):
-        yield finding("key", "path:N needs a whole number from 1.")
+        yield bad_value("key", "N in path:N must be a whole number of 1 or more.")
     if service.key and not service.divided_by_key:
-        yield finding("key", "Is only for a service divided by key.")
+        yield bad_value("key", "Only allowed if divided_by_key is true.")
     if not 1 <= service.shards <= MAX_SHARDS:
-        yield finding("shards", f"Must be from 1 to {MAX_SHARDS}.")
+        yield bad_value("shards", f"Must be from 1 to {MAX_SHARDS}.")
     for field in ("slots", "connections", "deadline_ms", "idle_ms"):
         if getattr(service, field) < 1:
-            yield finding(field, "Must be 1 or more.")
+            yield bad_value(field, "Must be 1 or more.")
     if service.queue < 0:
-        yield finding("queue", "Must be 0 or more.")
+        yield bad_value("queue", "Must be 0 or more.")
     for field in ("non_idempotent", "idempotent", "priorities"):
         for pattern in getattr(service, field):
             method, _, path = pattern.partition(" ")
-            if method not in METHODS or not path.startswith(f"/{service.name}"):
-                text = f"{pattern!r} is not METHOD /{service.name}/PATH."
-                yield finding(field, text)
+            if method not in HTTP_METHODS or not path.startswith(f"/{service.name}"):
+                text = (
+                    f"{pattern!r} does not have the form METHOD /{service.name}/PATH."
+                )
+                yield bad_value(field, text)
     for field in ("imbalance", "churn", "unavailable"):
         if getattr(service.weights, field) < 0:
-            yield finding(f"weights.{field}", "Must be 0 or more.")
+            yield bad_value(f"weights.{field}", "Must be 0 or more.")
 
 
-def _check_preset(preset, where):
+def _check_preset(preset, place):
     if preset.move_budget < 1:
         yield Finding(
-            place=f"{where}.move_budget", code="bad_value", text="Must be 1 or more."
+            place=f"{place}.move_budget", code="bad_value", text="Must be 1 or more."
         )
     if not 0 <= preset.queue_share <= 1:
         yield Finding(
-            place=f"{where}.queue_share", code="bad_value", text="Must be from 0 to 1."
+            place=f"{place}.queue_share", code="bad_value", text="Must be from 0 to 1."
         )
     if preset.slow_start_ms < 0:
         yield Finding(
-            place=f"{where}.slow_start_ms", code="bad_value", text="Must be 0 or more."
+            place=f"{place}.slow_start_ms", code="bad_value", text="Must be 0 or more."
         )
 
 
 def _check_initial_preset(raw, presets, place):
-    where = f"{place}: preset"
+    preset_place = f"{place}: preset"
     if "preset" not in raw:
-        return [Finding(place=where, code="missing", text="Is required.")]
+        return [Finding(place=preset_place, code="missing", text="Is required.")]
     if raw["preset"] not in [preset.name for preset in presets]:
-        text = f"{raw['preset']!r} is not declared under presets."
-        return [Finding(place=where, code="unknown_preset", text=text)]
+        text = f"{raw['preset']!r} is not defined under presets."
+        return [Finding(place=preset_place, code="unknown_preset", text=text)]
     return []
--- a/guavastream/declare/model.py
+++ b/guavastream/declare/model.py
@@ -1,4 +1,4 @@
-"""Declared services and presets, as operators keep them in version control."""
+"""Services and presets, declared in a file that operators keep in version control."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +9,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Weights:
-    """What placement minimises for a service, as a weighted sum."""
+    """Weights of the cost terms that placement minimizes for a service.
+
+    Parameters
+    ----------
+    imbalance : float
+        Weight of uneven load across the servers.
+    churn : float
+        Weight of moving shards between servers.
+    unavailable : float
+        Weight of shards that are unavailable.
+    """
 
     imbalance: float = 1.0
     churn: float = 1.0
@@ -18,42 +28,45 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Service:
-    """A set of backend servers that share a trade.
+    """A service that a set of backend servers provides.
 
     Parameters
     ----------
     name : str
-        First segment of the request path.
+        Name of the service, which is the first segment of its request paths.
     divided_by_key : bool
-        Whether each key has one owning server.
+        Whether each key is owned by exactly one server.
     key : str
-        Where the key is: `header:NAME`, `query:NAME` or `path:N`, where N
-        counts path segments from 1 and segment 1 is the service.
+        Where a request carries its key: `header:NAME`, `query:NAME` or
+        `path:N`. N counts path segments from 1; segment 1 is the service name.
     shards : int
-        Parts that the keys are hashed to; never changed for a live service.
+        Number of shards that keys are hashed to; must not change while the
+        service is live.
     slots : int
-        Requests that one server runs at a time.
+        Requests that one server runs concurrently.
     connections : int
-        Connections that one server accepts.
+        Maximum number of connections that one server accepts.
     queue : int
-        Requests that may wait for a slot of one server.
+        Requests that may wait for a free slot of one server.
     checks_grants : bool
-        Whether the servers check who gives them an order.
+        Whether the servers verify that the sender of a request may act for its
+        shard.
     deadline_ms : int
-        Time for a whole request unless the caller gives less.
+        Time limit of a whole request, unless the caller sets a shorter one.
     idle_ms : int
-        Longest silence within a request or answer body.
+        Maximum time without data within a request or response body.
     non_idempotent : tuple of str
-        Requests that must not repeat, as `METHOD PATH`; `*` ends a prefix.
+        Requests that must not be repeated, as `METHOD PATH`; a path that ends
+        in `*` is a prefix.
     idempotent : tuple of str
-        POST and PATCH requests that may repeat, written likewise; all others
-        of these methods must not (RFC 9110, 9.2.2).
+        POST and PATCH requests that may be repeated, in the same form. All
+        other requests of these methods must not be (RFC 9110, 9.2.2).
     priority : str
-        Class that presets name in their shedding order.
+        Default priority class, to which the `shed` list of a preset refers.
     priorities : dict of str to str
-        Classes of single requests, by `METHOD PATH`.
+        Priority classes of particular requests, by `METHOD PATH`.
     weights : Weights
-        Weights of the placement policy.
+        Weights of the cost terms of placement.
     """
 
     name: str
@@ -74,32 +87,32 @@
 
     @property
     def has_shards(self):
-        """Whether its servers own shards: of keys, or of operations.
+        """Whether the servers of this service own shards of keys or operations.
 
-        Where requests must not repeat but have no key, the server that owns
-        an operation's id keeps its outcome.
+        Requests that must not be repeated but have no key are assigned to
+        shards by their operation id; the owning server keeps the outcome.
         """
         return self.divided_by_key or bool(self.non_idempotent)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Preset:
-    """Limits in force together.
+    """A named set of limits that take effect together.
 
     Parameters
     ----------
     name : str
-        Name that operators use.
+        Name by which operators select the preset.
     shed : tuple of str
-        Priority classes refused first under overload, in order.
+        Priority classes to refuse first under overload, in this order.
     move_budget : int
-        Shards that may be on the move at once for the sake of balance.
+        Maximum number of shards that may be moving at once for rebalancing.
     slow_start_ms : int
-        Time over which a new server comes to its full slots.
+        Time over which the usable slots of a new server rise to the full number.
     queue_share : float
-        Share of each service's queue that may be used, 0 to 1.
+        Fraction of each service's queue that may be used, from 0 to 1.
     drained : tuple of str
-        Hosts and availability zones that get no new work.
+        Hosts and availability zones that receive no new work.
     """
 
     name: str
@@ -112,7 +125,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Declaration:
-    """Everything that one file of declarations says."""
+    """The contents of one declaration file.
+
+    Parameters
+    ----------
+    services : tuple of Service
+        The declared services.
+    presets : tuple of Preset
+        The declared presets.
+    preset : str
+        Name of the initial preset.
+    """
 
     services: tuple[Service, ...] = ()
     presets: tuple[Preset, ...] = ()
