--- a/guavastream/relay/hop.py
+++ b/guavastream/relay/hop.py
@@ -56,8 +56,8 @@
     One header takes a third of the bytes that one header for each field would take,
     and traffic between availability zones costs money.
 
-    The fields mean the same as those of `Attempt`; `left_ms` and `wanted_ms` are the
-    milliseconds until `deadline` and `wanted_by`.
+    The fields mean the same as those of `Attempt`; `remaining_ms` and `target_ms` are
+    the milliseconds until `deadline` and `target_time`.
     """
 
     service: str
